--- a/crates/admin/src/handoff/tests.rs
+++ b/crates/admin/src/handoff/tests.rs
@@ -1,7 +1,7 @@
 //! A handoff is read whole or not at all.
 
 use super::*;
-use quartzcleat_decision::{HostSnapshot, SlownessSnapshot};
+use quartzcleat_decision::{HostSnapshot, LatencyScoreSnapshot};
 
 const LIMITER: LimiterIdentity<'static> = LimiterIdentity {
     name: "n1",
@@ -13,9 +13,9 @@
     let host = HostSnapshot {
         host: 7,
         started: 3,
-        slowness: SlownessSnapshot {
-            value: 1.25,
-            evidence: 4.0,
+        latency: LatencyScoreSnapshot {
+            score: 1.25,
+            sample_weight: 4.0,
             measured_at: 9,
         },
         concurrency_limit: 2.5,
--- a/crates/bench/src/error.rs
+++ b/crates/bench/src/error.rs
@@ -1,5 +1,6 @@
 //! Why a command of the bench fails.
 
+use crate::module::ModuleError;
 use quartzcleat_config::Faults;
 use std::io;
 use std::path::{Path, PathBuf};
@@ -75,9 +76,9 @@
     /// The runs were carried out, and some did not hold; the report of all.
     #[error("{0}")]
     FailedSeeds(String),
-    /// The damages to the decision module could not be tried.
-    #[error("{0}")]
-    Module(String),
+    /// The damages to the decision crate could not be tried.
+    #[error(transparent)]
+    Module(#[from] ModuleError),
 }
 
 impl BenchError {
--- a/crates/bench/src/module/tests.rs
+++ b/crates/bench/src/module/tests.rs
@@ -1,17 +1,15 @@
-//! The table of damages fits the decision module.
+//! The table of damages fits the decision crate.
 
 use super::*;
 
-/// A damage whose text no longer stands in the module would stop the run only when its turn comes.
+/// A damage whose text is missing would stop a run only when its turn comes; one whose text stands twice would
+/// damage the first place only.
 #[test]
-fn text_of_each_damage_stands_in_the_module() {
+fn text_of_each_damage_stands_once_in_the_crate() {
     let source = Path::new(env!("CARGO_MANIFEST_DIR")).join("../decision/src");
     for damage in DAMAGES {
         let (file, original) = (damage.file, damage.original);
-        let text = std::fs::read_to_string(source.join(file)).expect("a file of the module");
-        assert!(
-            text.contains(original),
-            "{file}: {original:?} stands there no more"
-        );
+        let text = std::fs::read_to_string(source.join(file)).expect("a file of the crate");
+        assert_eq!(text.matches(original).count(), 1, "{file}: {original:?}");
     }
 }
--- a/crates/config/src/platform/decode.rs
+++ b/crates/config/src/platform/decode.rs
@@ -169,59 +169,100 @@
     }
 
     fn settings(&mut self, classes: Vec<Class>, plans: Vec<Plan>) -> Settings {
+        // Faults are reported in the order in which the groups are written here.
         Settings {
             classes,
             plans,
-            limiters: LimiterSettings {
-                count: self.parse("balancers"),
-                own_index: LimiterIndex(self.parse("me")),
-                own_zone: ZoneId(self.parse("zone")),
-                tick: self.parse("quantumNs"),
-            },
-            discovery: DiscoverySettings {
-                is_polled: self.keyword("registryMode", &DISCOVERY_MODES),
-                report_source: self.keyword("stats.how", &REPORT_SOURCES),
-            },
-            counter: CounterSettings {
-                is_available: self.parse("familyInfo.counter"),
-                timeout: self.parse("familyInfo.counterTimeoutNs"),
-                call_price: self.number("familyInfo.callPrice"),
-            },
-            units: UnitSettings {
-                are_estimates: self.parse("familyInfo.costAfter"),
-                largest_request: self.number("familyInfo.unitsTop"),
-            },
-            capabilities: Capabilities {
-                cancel: self.parse("limits.mayCancel"),
-                health_checks: self.parse("limits.probing"),
-                peer_messages: self.parse("limits.peers"),
-                hedged_requests: self.parse("limits.secondCopies"),
-            },
-            backoff: BackoffSettings {
-                sends_retry_after: self.parse("limits.retryAfter"),
-                longest_retry_after: self.parse("limits.maxRetryAfterNs"),
-            },
-            attempts: AttemptSettings {
-                max_per_request: self.parse("limits.sendCap"),
-                max_requests_in_progress: self.parse("limits.openCap"),
-                connect_timeout: self.parse("limits.connectTimeoutNs"),
-            },
-            grace: GraceSettings {
-                answer: self.parse("safety.graceToAnswerNs"),
-                drain: self.parse("safety.drainGraceNs"),
-            },
-            slow_start: SlowStartSettings {
-                initial_capacity: self.number("safety.coldFrom"),
-                duration: self.parse("safety.warmAfterNs"),
-                overload_factor: self.number("safety.overloadFactor"),
-                overload_duration: self.parse("safety.tipAfterNs"),
-            },
-            prices: PriceSettings {
-                cross_zone: self.number("charges.crossZone"),
-                waste: self.number("charges.waste"),
-                late_failure: self.number("charges.lateFail"),
-                health_check: self.number("charges.probe"),
-            },
+            limiters: self.limiters(),
+            discovery: self.discovery(),
+            counter: self.counter(),
+            units: self.units(),
+            capabilities: self.capabilities(),
+            backoff: self.backoff(),
+            attempts: self.attempts(),
+            grace: self.grace(),
+            slow_start: self.slow_start(),
+            prices: self.prices(),
+        }
+    }
+
+    fn limiters(&mut self) -> LimiterSettings {
+        LimiterSettings {
+            count: self.parse("balancers"),
+            own_index: LimiterIndex(self.parse("me")),
+            own_zone: ZoneId(self.parse("zone")),
+            tick: self.parse("quantumNs"),
+        }
+    }
+
+    fn discovery(&mut self) -> DiscoverySettings {
+        DiscoverySettings {
+            is_polled: self.keyword("registryMode", &DISCOVERY_MODES),
+            report_source: self.keyword("stats.how", &REPORT_SOURCES),
+        }
+    }
+
+    fn counter(&mut self) -> CounterSettings {
+        CounterSettings {
+            is_available: self.parse("familyInfo.counter"),
+            timeout: self.parse("familyInfo.counterTimeoutNs"),
+            call_price: self.number("familyInfo.callPrice"),
+        }
+    }
+
+    fn units(&mut self) -> UnitSettings {
+        UnitSettings {
+            are_estimates: self.parse("familyInfo.costAfter"),
+            largest_request: self.number("familyInfo.unitsTop"),
+        }
+    }
+
+    fn capabilities(&mut self) -> Capabilities {
+        Capabilities {
+            cancel: self.parse("limits.mayCancel"),
+            health_checks: self.parse("limits.probing"),
+            peer_messages: self.parse("limits.peers"),
+            hedged_requests: self.parse("limits.secondCopies"),
+        }
+    }
+
+    fn backoff(&mut self) -> BackoffSettings {
+        BackoffSettings {
+            sends_retry_after: self.parse("limits.retryAfter"),
+            longest_retry_after: self.parse("limits.maxRetryAfterNs"),
+        }
+    }
+
+    fn attempts(&mut self) -> AttemptSettings {
+        AttemptSettings {
+            max_per_request: self.parse("limits.sendCap"),
+            max_requests_in_progress: self.parse("limits.openCap"),
+            connect_timeout: self.parse("limits.connectTimeoutNs"),
+        }
+    }
+
+    fn grace(&mut self) -> GraceSettings {
+        GraceSettings {
+            answer: self.parse("safety.graceToAnswerNs"),
+            drain: self.parse("safety.drainGraceNs"),
+        }
+    }
+
+    fn slow_start(&mut self) -> SlowStartSettings {
+        SlowStartSettings {
+            initial_capacity: self.number("safety.coldFrom"),
+            duration: self.parse("safety.warmAfterNs"),
+            overload_factor: self.number("safety.overloadFactor"),
+            overload_duration: self.parse("safety.tipAfterNs"),
+        }
+    }
+
+    fn prices(&mut self) -> PriceSettings {
+        PriceSettings {
+            cross_zone: self.number("charges.crossZone"),
+            waste: self.number("charges.waste"),
+            late_failure: self.number("charges.lateFail"),
+            health_check: self.number("charges.probe"),
         }
     }
 }
--- /dev/null
+++ b/crates/decision/src/lifecycle.rs
@@ -0,0 +1,94 @@
+//! Request lifecycle: from arrival over admission, queue, attempts and retries to the final answer. Calls
+//! `admission`, `quota` and `hosts`, which know neither it nor each other. Knows neither sockets nor clocks.
+
+mod arrival;
+mod attempt;
+mod completion;
+mod deadlines;
+mod dispatch;
+mod queue;
+mod release;
+mod request;
+mod retry;
+mod retry_budget;
+
+pub(crate) use arrival::Arrival;
+pub(crate) use attempt::{AttemptEnd, AttemptKey};
+
+use crate::admission::LoadShedder;
+use crate::api::{Nanos, Settings};
+use crate::context::Context;
+use crate::hosts::HostPool;
+use crate::quota::QuotaTracker;
+use attempt::InFlightAttempt;
+use queue::DispatchQueue;
+use request::RequestTable;
+use retry_budget::RetryBudget;
+use std::collections::BTreeMap;
+
+/// All requests without a final answer, and the parts that decide on them.
+#[derive(Debug)]
+pub(crate) struct RequestLifecycle {
+    requests: RequestTable,
+    attempts: BTreeMap<AttemptKey, InFlightAttempt>,
+    queue: DispatchQueue,
+    retry_budget: RetryBudget,
+    shedder: LoadShedder,
+    quotas: QuotaTracker,
+    hosts: HostPool,
+}
+
+impl RequestLifecycle {
+    pub(crate) fn new(settings: &Settings, now: Nanos) -> Self {
+        RequestLifecycle {
+            requests: RequestTable::default(),
+            attempts: BTreeMap::new(),
+            queue: DispatchQueue::default(),
+            retry_budget: RetryBudget::new(),
+            shedder: LoadShedder::new(now),
+            quotas: QuotaTracker::new(now),
+            hosts: HostPool::new(settings),
+        }
+    }
+
+    /// Removes records of customers and hosts that are no longer in use.
+    pub(crate) fn remove_unused(&mut self, context: &Context) {
+        self.quotas.remove_unused(context);
+        self.hosts.remove_unused();
+    }
+
+    /// The known hosts.
+    pub(crate) fn hosts(&self) -> &HostPool {
+        &self.hosts
+    }
+
+    /// The known hosts, to be changed.
+    pub(crate) fn hosts_mut(&mut self) -> &mut HostPool {
+        &mut self.hosts
+    }
+
+    /// The quotas of the customers.
+    pub(crate) fn quotas(&self) -> &QuotaTracker {
+        &self.quotas
+    }
+
+    /// The quotas of the customers, to be changed.
+    pub(crate) fn quotas_mut(&mut self) -> &mut QuotaTracker {
+        &mut self.quotas
+    }
+
+    /// The admission of requests.
+    pub(crate) fn shedder(&self) -> &LoadShedder {
+        &self.shedder
+    }
+
+    /// The admission of requests, to be changed.
+    pub(crate) fn shedder_mut(&mut self) -> &mut LoadShedder {
+        &mut self.shedder
+    }
+
+    /// Number of requests that wait for capacity.
+    pub(crate) fn queued_count(&self) -> usize {
+        self.queue.len()
+    }
+}
--- a/crates/decision/src/lifecycle/completion.rs
+++ b/crates/decision/src/lifecycle/completion.rs
@@ -1,143 +1,166 @@
-//! Completion: outcomes of attempts, missed deadlines, and the final answer of a request.
+//! Completion: the outcomes of attempts, and the final answer of a request.
 
-use super::*;
+use super::attempt::{AttemptEnd, AttemptKey};
+use super::request::{PendingRequest, RequestState};
+use super::RequestLifecycle;
+use crate::api::{Action, Class, DedupScope, Effect, Nanos, Outcome, RequestId};
+use crate::context::Context;
+use crate::hosts::{AttemptResult, SentAttempt};
+use crate::objective::objective_ratio;
 use crate::quota::Correction;
 
-impl DecisionEngine {
-    /// The host's work is done when its answer begins, however long the client takes to read it. The
-    /// customer's cap on concurrent attempts still counts the attempt.
-    pub(super) fn on_stream_started(
+impl RequestLifecycle {
+    /// Handles the begin of a streamed answer. The host's work is done then, however long the client takes to
+    /// read the answer. The customer's cap on concurrent attempts still counts the attempt.
+    pub(crate) fn on_stream_started(
         &mut self,
         key: AttemptKey,
         elapsed: Nanos,
-        actions: &mut Actions,
+        context: &mut Context,
     ) {
         self.requests
-            .entry(key.request)
-            .and_modify(|request| request.state = RequestState::Streaming);
-        let Some(attempt) = self.in_flight.get_mut(&key) else {
+            .set_state(key.request, RequestState::Streaming);
+        let Some(attempt) = self.attempts.get_mut(&key) else {
             return;
         };
-        if !std::mem::replace(&mut attempt.stream_started, true) {
-            self.host_pool
-                .record_outcome(key.request, attempt, Outcome::Good, elapsed, actions);
-            self.release_queue(actions);
+        if attempt.has_stream_started {
+            return;
         }
+        attempt.has_stream_started = true;
+        let sent = attempt.sent;
+        let result = AttemptResult {
+            outcome: Outcome::Good,
+            elapsed,
+        };
+        self.record_result(&sent, &result, context);
+        self.release_queue(context);
     }
 
-    pub(super) fn on_attempt_done(
+    /// Handles the end of an attempt.
+    pub(crate) fn on_attempt_done(
         &mut self,
         key: AttemptKey,
         end: AttemptEnd,
-        actions: &mut Actions,
+        context: &mut Context,
     ) {
-        let Some(attempt) = self.in_flight.remove(&key) else {
+        let Some(attempt) = self.attempts.remove(&key) else {
             return;
         };
+        let outcome = end.result.outcome;
         self.quotas.record_attempt_end(attempt.customer);
-        if !attempt.stream_started {
-            self.host_pool
-                .record_outcome(key.request, &attempt, end.outcome, end.elapsed, actions);
+        if !attempt.has_stream_started {
+            self.record_result(&attempt.sent, &end.result, context);
         }
-        let request = self.requests.get_mut(&key.request);
-        if let Some(request) = request.filter(|_| end.outcome.never_ran()) {
-            // An attempt that did not run does not restrict retries.
-            request.first_run = request.first_run.filter(|run| run.attempt != key.attempt);
+        if outcome.never_ran() {
+            self.forget_first_run(key);
         }
-        self.settle_units(key.request, &end, actions);
+        self.settle_units(key.request, &end, context);
         if end.is_request_finished {
-            self.requests.remove(&key.request);
+            self.requests.remove(key.request);
         } else {
-            self.retry_or_finish(key.request, attempt.host, end.outcome, actions);
+            self.retry_or_finish(key.request, attempt.sent.host, outcome, context);
         }
-        self.release_queue(actions);
+        self.release_queue(context);
     }
 
-    /// Corrects the count to the true units, up to the most that a request counts.
-    fn settle_units(&mut self, id: RequestId, end: &AttemptEnd, actions: &mut Actions) {
-        let is_settled = self.settings.units.are_estimates
-            && end.outcome == Outcome::Good
-            && end.true_units > 0.0;
-        if let Some(request) = self.requests.get(&id).filter(|_| is_settled) {
-            let claim = &request.claim;
-            let units = end
-                .true_units
-                .min(self.settings.units.largest_request.max(claim.units));
-            self.quotas
-                .adjust(claim, units - claim.units, Correction::Settlement, actions);
+    /// Records the result of an attempt in the measurements of its host and of the load.
+    fn record_result(
+        &mut self,
+        attempt: &SentAttempt,
+        result: &AttemptResult,
+        context: &mut Context,
+    ) {
+        self.hosts.end_attempt(attempt);
+        if matches!(result.outcome, Outcome::Cancelled | Outcome::NeverSent) {
+            return;
+        }
+        let ratio = match result.outcome {
+            // A rejecting host has no capacity, however fast it says so.
+            Outcome::Rejected => 1.0,
+            _ => objective_ratio(result.elapsed, context.class(attempt.class)),
+        };
+        // A later answer was recorded when its objective was missed.
+        if matches!(result.outcome, Outcome::Rejected | Outcome::Good) && ratio <= 1.0 {
+            self.record_objective_ratio(ratio, context);
+        }
+        self.hosts.record_result(attempt, result, context);
+        if result.outcome == Outcome::Good {
+            self.shedder.record_success(ratio);
         }
     }
 
-    pub(super) fn on_deadline(&mut self, id: RequestId, actions: &mut Actions) {
-        if self
-            .requests
-            .get(&id)
-            .is_some_and(|request| request.state != RequestState::Streaming)
-        {
-            self.finish(id, actions);
-        }
+    /// Adjusts the concurrency limit over all hosts and the admission ratio by an answer's time as a multiple of
+    /// its latency objective.
+    pub(super) fn record_objective_ratio(&mut self, ratio: f64, context: &Context) {
+        self.hosts.adjust_pool_limit(ratio, context);
+        self.shedder.record_answer(ratio, context.now());
     }
 
-    /// Handles an attempt that was not answered by the request's latency objective.
-    pub(super) fn on_latency_objective(&mut self, id: RequestId, actions: &mut Actions) {
-        let request = self
-            .requests
-            .get(&id)
-            .filter(|request| request.state == RequestState::InFlight);
-        let Some(request) = request else { return };
-        // A limiter that was paused gets its timers late, and hosts are not at fault for that.
-        let is_on_time =
-            self.now <= self.objective_deadline(request) + 2 * self.settings.limiters.tick;
-        // An answer without weight is not waited for: the client is answered at once.
-        let is_worthless = self.class(request).late_weight <= 0.0;
-        let key = AttemptKey {
-            request: id,
-            attempt: AttemptIndex(request.attempts - 1),
-        };
-        if let Some(attempt) = self.in_flight.get(&key).filter(|_| is_on_time) {
-            self.host_pool.record_missed_objective(attempt);
+    /// An attempt that did not run does not restrict retries.
+    fn forget_first_run(&mut self, key: AttemptKey) {
+        if let Some(request) = self.requests.get_mut(key.request) {
+            request.first_run = request.first_run.filter(|run| run.attempt != key.attempt);
         }
-        if is_worthless {
-            self.finish(id, actions);
+    }
+
+    /// Corrects the count to the true units, up to the most that a request counts.
+    fn settle_units(&mut self, id: RequestId, end: &AttemptEnd, context: &mut Context) {
+        let units = &context.settings().units;
+        let is_settled =
+            units.are_estimates && end.result.outcome == Outcome::Good && end.true_units > 0.0;
+        if !is_settled {
+            return;
         }
+        let Some(request) = self.requests.get(id) else {
+            return;
+        };
+        let claim = request.claim;
+        let true_units = end.true_units.min(units.largest_request.max(claim.units));
+        let correction = true_units - claim.units;
+        self.quotas
+            .adjust(&claim, correction, Correction::Settlement, context);
     }
 
-    /// The final answer of a request without an answer of a host: a rejection if the request had no effect
+    /// Gives the final answer of a request without an answer of a host: a rejection if the request had no effect
     /// that a retry would repeat, else a failure.
-    pub(super) fn finish(&mut self, id: RequestId, actions: &mut Actions) {
-        let Some(request) = self.close(id, actions) else {
+    pub(super) fn finish(&mut self, id: RequestId, context: &mut Context) {
+        let Some(request) = self.close(id, context) else {
             return;
         };
-        let class = self.class(&request);
-        let is_deduplicated =
-            class.effect == Effect::IdempotentWithKey && class.dedup_scope == DedupScope::All;
-        let is_safe =
-            request.first_run.is_none() || class.effect == Effect::Idempotent || is_deduplicated;
-        if request.state == RequestState::InFlight && self.settings.capabilities.cancel {
-            actions.push(Action::CancelAttempt {
+        if request.state == RequestState::InFlight && context.settings().capabilities.cancel {
+            context.push(Action::CancelAttempt {
                 id,
-                attempt: AttemptIndex(request.attempts - 1),
+                attempt: request.latest_attempt(),
             });
         }
-        let retry_after = self.retry_after(&request);
-        actions.push(if is_safe {
+        let is_safe = is_retry_safe(&request, context.class(request.class()));
+        let retry_after = self.retry_after(&request, context);
+        context.push(if is_safe {
             Action::Reject { id, retry_after }
         } else {
             Action::Fail { id }
         });
     }
 
-    /// Removes a request. The units of one that never ran are refunded, no matter who ended it.
-    pub(super) fn close(&mut self, id: RequestId, actions: &mut Actions) -> Option<PendingRequest> {
-        let request = self.requests.remove(&id)?;
+    /// Handles the loss of a request's client: nothing is answered.
+    pub(crate) fn on_abandoned(&mut self, id: RequestId, context: &mut Context) {
+        self.close(id, context);
+    }
+
+    /// Removes a request. The units of one that never ran are refunded, whether the limiter or the client ended
+    /// it.
+    fn close(&mut self, id: RequestId, context: &mut Context) -> Option<PendingRequest> {
+        let request = self.requests.remove(id)?;
         if request.first_run.is_none() {
-            self.quotas.adjust(
-                &request.claim,
-                -request.claim.units,
-                Correction::Refund,
-                actions,
-            );
+            self.refund(&request.claim, context);
         }
         Some(request)
     }
 }
+
+/// Whether a retry by the client, at any limiter, repeats no effect.
+fn is_retry_safe(request: &PendingRequest, class: &Class) -> bool {
+    let is_deduplicated =
+        class.effect == Effect::IdempotentWithKey && class.dedup_scope == DedupScope::All;
+    request.first_run.is_none() || class.effect == Effect::Idempotent || is_deduplicated
+}
--- a/crates/decision/src/lifecycle/dispatch.rs
+++ b/crates/decision/src/lifecycle/dispatch.rs
@@ -1,27 +1,44 @@
-//! Dispatch of attempts, and the rules for retries.
+//! Dispatch of attempts.
 
-use super::*;
-use crate::host_selection::{HostRequirements, InFlightAttempt};
+use super::attempt::{AttemptKey, InFlightAttempt};
+use super::request::{FirstRun, PendingRequest, RequestState};
+use super::retry::begins_within;
+use super::RequestLifecycle;
+use crate::api::{Action, AttemptIndex, HostId, RequestId};
+use crate::context::Context;
+use crate::hosts::{HostRequirements, SentAttempt};
 
-/// Retry tokens that a first attempt earns. A retry of a request that may have run costs one.
-const RETRY_TOKENS_PER_REQUEST: f64 = 0.1;
-/// Maximum number of retry tokens of all limiters together.
-const MAX_RETRY_TOKENS: f64 = 20.0;
+/// Result of an attempt to dispatch a request.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(super) enum Dispatch {
+    /// An attempt was sent, or the request has its final answer.
+    Sent,
+    /// The customer's ceiling or cap, or the hosts of the request's dedup scope, have no capacity; other
+    /// requests may go.
+    RequestLimited,
+    /// No host has capacity for any request.
+    NoHost,
+}
+
+impl RequestLifecycle {
+    /// Dispatches an admitted request, or queues it if others are queued or it cannot be sent now.
+    pub(super) fn admit(&mut self, id: RequestId, context: &mut Context) {
+        self.requests.set_state(id, RequestState::Queued);
+        if !self.queue.is_empty() || self.dispatch(id, context) != Dispatch::Sent {
+            self.queue.push_back(id);
+            self.queue.set_timer(context);
+        }
+    }
 
-impl DecisionEngine {
     /// Sends the request's next attempt, if quota limits, deduplication window and hosts allow it now.
-    pub(super) fn dispatch(&mut self, id: RequestId, actions: &mut Actions) -> Dispatch {
-        let Some(request) = self.requests.get(&id).cloned() else {
+    pub(super) fn dispatch(&mut self, id: RequestId, context: &mut Context) -> Dispatch {
+        let Some(request) = self.requests.get(id).cloned() else {
             return Dispatch::Sent;
         };
-        let is_first = request.attempts == 0;
-        if is_first && self.quotas.is_ceiling_exhausted(&request.claim)
-            || self.begins_within(&request) == 0
-            || is_first && !self.quotas.has_open_capacity(&request.claim)
-        {
+        if self.is_request_limited(&request, context) {
             return Dispatch::RequestLimited;
         }
-        if self.host_pool.is_full() {
+        if self.hosts.is_full(context) {
             return Dispatch::NoHost;
         }
         let first_run = request.first_run.map(|run| run.location);
@@ -29,121 +46,82 @@
             first_run,
             ..request.requirements
         };
-        let Some(host) = self.host_pool.select_host(&requirements, &mut self.random) else {
+        let Some(host) = self.hosts.select_host(&requirements, context) else {
             return if first_run.is_some() {
                 Dispatch::RequestLimited
             } else {
                 Dispatch::NoHost
             };
         };
-        self.send_attempt(id, &request, host, actions);
+        self.send_attempt(id, &request, host, context);
         Dispatch::Sent
     }
 
+    /// Whether the customer's ceiling or cap, or the deduplication window, forbids an attempt now. Ceiling and
+    /// cap limit the first attempt only.
+    fn is_request_limited(&mut self, request: &PendingRequest, context: &Context) -> bool {
+        let is_first = request.attempts == 0;
+        if is_first && self.quotas.is_ceiling_exhausted(&request.claim, context) {
+            return true;
+        }
+        if begins_within(request, context) == 0 {
+            return true;
+        }
+        is_first && !self.quotas.has_attempt_capacity(&request.claim, context)
+    }
+
     fn send_attempt(
         &mut self,
         id: RequestId,
         request: &PendingRequest,
         host: HostId,
-        actions: &mut Actions,
+        context: &mut Context,
     ) {
-        if request.attempts == 0 {
-            self.quotas.record_first_attempt(&request.claim);
-            self.retry_tokens += RETRY_TOKENS_PER_REQUEST;
-        } else {
-            self.quotas.record_retry(&request.claim);
-        }
-        let max_tokens = (MAX_RETRY_TOKENS / f64::from(self.settings.limiters.count)).max(1.0);
-        self.retry_tokens = self.retry_tokens.min(max_tokens);
-        let attempt = AttemptIndex(request.attempts);
-        let sent_at = self.now;
-        let class = request.requirements.class;
-        let customer = request.claim.customer;
-        let in_flight = InFlightAttempt {
-            host,
-            sent_at,
-            class,
-            customer,
-            stream_started: false,
+        self.record_attempt_cost(request, context);
+        let sent_at = context.now();
+        let key = AttemptKey {
+            request: id,
+            attempt: AttemptIndex(request.attempts),
         };
-        self.in_flight.insert(
-            AttemptKey {
+        let in_flight = InFlightAttempt {
+            sent: SentAttempt {
                 request: id,
-                attempt,
+                host,
+                class: request.class(),
+                sent_at,
             },
-            in_flight,
-        );
-        let location = self.host_pool.record_dispatch(id, host);
-        if let Some(request) = self.requests.get_mut(&id) {
+            customer: request.claim.customer,
+            has_stream_started: false,
+        };
+        self.attempts.insert(key, in_flight);
+        let location = self.hosts.begin_attempt(id, host, sent_at);
+        // Until its outcome proves otherwise, this attempt may be the first that ran.
+        let run = location.map(|location| FirstRun {
+            attempt: key.attempt,
+            location,
+            sent_at,
+        });
+        if let Some(request) = self.requests.get_mut(id) {
             request.state = RequestState::InFlight;
             request.attempts += 1;
-            // Until its outcome proves otherwise, this attempt may be the first that ran.
-            let run = location.map(|location| FirstRun {
-                attempt,
-                location,
-                sent_at,
-            });
             request.first_run = request.first_run.or(run);
         }
-        let timeout = request.deadline.saturating_sub(sent_at);
-        actions.push(Action::Attempt {
+        context.push(Action::Attempt {
             id,
             host,
-            timeout,
-            begins_within: self.begins_within(request),
+            timeout: request.deadline.saturating_sub(sent_at),
+            begins_within: begins_within(request, context),
         });
     }
 
-    /// Retries a request after a failed attempt, or gives it its final answer.
-    pub(super) fn retry_or_finish(
-        &mut self,
-        id: RequestId,
-        failed_host: HostId,
-        outcome: Outcome,
-        actions: &mut Actions,
-    ) {
-        let Some(request) = self.requests.get(&id) else {
-            return;
-        };
-        if request.state != RequestState::InFlight {
-            return;
-        }
-        if !self.may_retry(request, outcome) {
-            return self.finish(id, actions);
-        }
-        let slow_start_draw = self.random.f64();
-        if let Some(request) = self.requests.get_mut(&id) {
-            request.requirements.avoid = Some(failed_host);
-            request.requirements.slow_start_draw = slow_start_draw;
-            request.state = RequestState::Queued;
-        }
-        self.retry_tokens -= if outcome.never_ran() { 0.0 } else { 1.0 };
-        if self.dispatch(id, actions) != Dispatch::Sent {
-            self.queue.push_front(id);
-        }
-    }
-
-    fn may_retry(&self, request: &PendingRequest, outcome: Outcome) -> bool {
-        self.begins_within(request) > 0
-            && outcome != Outcome::NeverSent
-            && request.attempts < self.settings.attempts.max_per_request.max(1)
-            && (self.retry_tokens >= 1.0 || outcome.never_ran())
-            && self.now + self.expected_latency(request) < self.objective_deadline(request)
-    }
-
-    /// How soon a further attempt must begin, given the one that may have run; zero: not at all.
-    fn begins_within(&self, request: &PendingRequest) -> Nanos {
-        let class = self.class(request);
-        let Some(run) = request.first_run else {
-            return Nanos::MAX;
-        };
-        match class.effect {
-            Effect::Idempotent => Nanos::MAX,
-            Effect::Unsafe => 0,
-            Effect::IdempotentWithKey => run
-                .sent_at
-                .saturating_add(class.dedup_window)
-                .saturating_sub(self.now),
+    /// Charges an attempt to the customer's ceiling and cap, and to the retry budget.
+    fn record_attempt_cost(&mut self, request: &PendingRequest, context: &Context) {
+        if request.attempts == 0 {
+            self.quotas.record_first_attempt(&request.claim, context);
+            self.retry_budget.earn();
+        } else {
+            self.quotas.record_retry(&request.claim);
         }
+        self.retry_budget.limit(context.settings().limiters.count);
     }
 }
--- /dev/null
+++ b/crates/decision/src/quota/counts.rs
@@ -0,0 +1,88 @@
+//! The amounts of one customer in the current window.
+
+use super::counter_calls::{CounterCall, CounterReply};
+use crate::api::Outcome;
+
+#[cfg(test)]
+mod tests;
+
+/// A total may fall short of the confirmed amount by this part of it before the count is taken for lost.
+const LOST_TOLERANCE: f64 = 0.01;
+
+/// Amounts of one customer in the current window: the counter's total, and this limiter's own part of it.
+/// Invariant: `confirmed - refunded` is the least that the counter must report of this limiter's adds; a lower
+/// total proves that the counter lost its counts.
+#[derive(Clone, Debug, Default)]
+pub(super) struct WindowCounts {
+    /// Latest total, including what a restarted counter lost.
+    pub(super) total: f64,
+    /// Own amounts in calls without a reply.
+    pub(super) pending: f64,
+    /// Own amounts that never reached the counter; the next call includes them.
+    pub(super) unsent: f64,
+    /// Own amounts that the counter confirmed.
+    pub(super) confirmed: f64,
+    /// Own amounts that were refunded.
+    pub(super) refunded: f64,
+    /// Part of `total` that a restarted counter lost.
+    pub(super) lost: f64,
+    /// Own amounts that are or may be in `total`.
+    pub(super) own: f64,
+    /// Whether the counter replied with a total of this window.
+    pub(super) is_total_known: bool,
+}
+
+impl WindowCounts {
+    /// The total with all own amounts that it does not contain yet.
+    pub(super) fn total_with_own(&self) -> f64 {
+        self.total + self.pending + self.unsent
+    }
+
+    /// Takes the unsent amount, which a call is about to include.
+    pub(super) fn take_unsent(&mut self) -> f64 {
+        std::mem::take(&mut self.unsent)
+    }
+
+    /// Records that a call with an amount is made. A negative amount is a refund.
+    pub(super) fn record_call(&mut self, amount: f64) {
+        if amount < 0.0 {
+            self.refunded -= amount;
+        }
+    }
+
+    /// Records the reply to an add.
+    pub(super) fn record_reply(&mut self, call: &CounterCall, reply: &CounterReply) {
+        self.pending -= call.amount;
+        match reply.outcome {
+            Outcome::Good => self.record_total(call, reply.total),
+            Outcome::Timeout => {
+                // The counter may have added the amount.
+                self.total += call.amount;
+                self.own += call.amount;
+            }
+            _ => self.unsent += call.amount,
+        }
+    }
+
+    fn record_total(&mut self, call: &CounterCall, total: f64) {
+        let total_before = total - call.amount;
+        self.detect_loss(call, total_before);
+        self.confirmed += call.amount.max(0.0);
+        self.own += call.amount;
+        self.total = total + self.lost;
+        self.is_total_known = true;
+    }
+
+    /// Detects a counter that lost its counts, for example at its restart: its total is below the amount that
+    /// it confirmed to this limiter. The lost part stays in the total. Only the amount that was confirmed at the
+    /// time of the call is expected, as calls that overtook each other are no loss.
+    fn detect_loss(&mut self, call: &CounterCall, total_before: f64) {
+        let expected = call.confirmed - self.refunded;
+        let tolerance = LOST_TOLERANCE * expected.max(1.0);
+        if total_before >= expected - tolerance {
+            return;
+        }
+        self.lost += (self.total - self.lost - total_before).max(0.0);
+        self.confirmed = total_before + self.refunded;
+    }
+}
--- a/crates/decision/src/quota/limits.rs
+++ b/crates/decision/src/quota/limits.rs
@@ -1,44 +1,61 @@
-//! Limits on dispatch: the cap on concurrent attempts and the hard ceiling.
+//! Limits on dispatch: the cap on concurrent attempts and the hard ceiling. Each limiter keeps to its share,
+//! as otherwise every one would grant the whole.
 
 use super::{QuotaClaim, QuotaTracker};
-use crate::units::to_seconds;
+use crate::api::{CustomerId, Plan};
+use crate::context::Context;
 
 impl QuotaTracker {
-    /// Whether the customer's cap on concurrent attempts allows one more. Each limiter keeps to its share of
-    /// the cap, as otherwise every one would grant all of it.
-    pub(crate) fn has_open_capacity(&self, claim: &QuotaClaim) -> bool {
-        let plan = &self.settings.plans[claim.plan];
-        let Some(quota) = self.customers.get(&claim.customer) else {
+    /// Whether the customer's cap on concurrent attempts allows one more.
+    pub(crate) fn has_attempt_capacity(&self, claim: &QuotaClaim, context: &Context) -> bool {
+        let plan = context.plan(claim.plan);
+        let cap = plan.max_concurrent_attempts;
+        let Some(record) = self.known_customer(claim.customer) else {
             return true;
         };
-        let share = quota.local_share(claim.spread, plan.burst);
-        plan.max_concurrent_attempts == 0
-            || f64::from(quota.open_attempts)
-                < (f64::from(plan.max_concurrent_attempts) * share).ceil()
-    }
-
-    pub(super) fn has_ceiling(&self, claim: &QuotaClaim) -> bool {
-        self.settings.plans[claim.plan].ceiling_rate > 0.0
+        let share = record.local_share(claim.spread, plan.burst);
+        cap == 0 || f64::from(record.attempts_in_flight) < (f64::from(cap) * share).ceil()
     }
 
     /// Whether this limiter's share of the hard ceiling lacks the claim's units.
-    pub(crate) fn is_ceiling_exhausted(&mut self, claim: &QuotaClaim) -> bool {
-        self.has_ceiling(claim) && self.refill_ceiling(claim) < claim.units
+    pub(crate) fn is_ceiling_exhausted(&mut self, claim: &QuotaClaim, context: &Context) -> bool {
+        has_ceiling(context.plan(claim.plan)) && self.refill_ceiling(claim, context) < claim.units
     }
 
-    /// Tokens left of the share. It starts empty, as it may have been spent before a restart.
-    fn refill_ceiling(&mut self, claim: &QuotaClaim) -> f64 {
-        let plan = &self.settings.plans[claim.plan];
+    /// Refills this limiter's even share of the ceiling and returns its tokens.
+    fn refill_ceiling(&mut self, claim: &QuotaClaim, context: &Context) -> f64 {
+        let plan = context.plan(claim.plan);
+        let now = context.now();
         let share = 1.0 / f64::from(claim.spread);
-        let quota = self.customers.entry(claim.customer).or_default();
-        let since = if quota.ceiling_refilled_at == 0 {
-            self.started_at
-        } else {
-            quota.ceiling_refilled_at
-        };
-        let gained = to_seconds(self.now - since) * plan.ceiling_rate * share;
-        quota.ceiling_tokens = (quota.ceiling_tokens + gained).min(plan.ceiling_burst * share);
-        quota.ceiling_refilled_at = self.now;
-        quota.ceiling_tokens
+        let bucket = &mut self.customer(claim.customer).ceiling;
+        let gained = bucket.seconds_since_refill(now) * plan.ceiling_rate * share;
+        bucket.refill(now, gained, plan.ceiling_burst * share);
+        bucket.tokens()
     }
+
+    /// Records the first attempt of a request, which uses the ceiling.
+    pub(crate) fn record_first_attempt(&mut self, claim: &QuotaClaim, context: &Context) {
+        let uses_ceiling = has_ceiling(context.plan(claim.plan));
+        let record = self.customer(claim.customer);
+        if uses_ceiling {
+            record.ceiling.take(claim.units);
+        }
+        record.begin_attempt();
+    }
+
+    /// Records a retry, which counts against the cap on concurrent attempts only.
+    pub(crate) fn record_retry(&mut self, claim: &QuotaClaim) {
+        self.customer(claim.customer).begin_attempt();
+    }
+
+    /// Records the end of an attempt.
+    pub(crate) fn record_attempt_end(&mut self, customer: CustomerId) {
+        if let Some(record) = self.known_customer_mut(customer) {
+            record.end_attempt();
+        }
+    }
+}
+
+fn has_ceiling(plan: &Plan) -> bool {
+    plan.ceiling_rate > 0.0
 }
--- a/crates/decision/src/quota/tracker.rs
+++ b/crates/decision/src/quota/tracker.rs
@@ -1,78 +1,258 @@
-//! Upkeep of the customers' records.
+//! The quotas of all customers as this limiter knows them: records, counter calls and their replies.
 
-use super::{CustomerQuota, QuotaClaim, QuotaTracker, Window};
-use crate::api::{CustomerId, Nanos, Plan, Settings};
-use crate::units::{to_nanos, SECOND};
-use std::sync::Arc;
+use super::call_sampler::{CallSampler, CustomerFrequency};
+use super::claim::{Correction, QuotaClaim, ReadyForVerdict, VerdictBasis};
+use super::counter_calls::{CounterCall, CounterReply, PendingCalls, WindowKey};
+use super::record::CustomerRecord;
+use super::window::Window;
+use crate::api::{Action, CustomerId, Nanos, Plan, PlanIndex, RequestId, Settings};
+use crate::context::Context;
+use crate::snapshot::{CounterCallsSnapshot, CustomerSnapshot};
+use crate::time::{to_nanos, SECOND};
+use std::cmp::Reverse;
+use std::collections::BTreeMap;
+
+/// Maximum number of customers in a snapshot; those seen last are included.
+const MAX_SNAPSHOT_CUSTOMERS: usize = 4096;
+
+/// The quotas of all customers as this limiter knows them.
+#[derive(Debug)]
+pub(crate) struct QuotaTracker {
+    started_at: Nanos,
+    customers: BTreeMap<CustomerId, CustomerRecord>,
+    pending_calls: PendingCalls,
+    pub(super) sampler: CallSampler,
+}
 
 impl QuotaTracker {
-    pub(crate) fn new(settings: Arc<Settings>, now: Nanos) -> Self {
+    pub(crate) fn new(now: Nanos) -> Self {
         QuotaTracker {
-            settings,
             started_at: now,
-            call_ratio: 1.0,
-            ..QuotaTracker::default()
+            customers: BTreeMap::new(),
+            pending_calls: PendingCalls::default(),
+            sampler: CallSampler::new(),
+        }
+    }
+
+    /// Part of the requests that call the counter.
+    pub(crate) fn call_ratio(&self) -> f64 {
+        self.sampler.call_ratio()
+    }
+
+    /// How long until the next window of a claim's customer.
+    pub(crate) fn time_to_next_window(&self, claim: &QuotaClaim, context: &Context) -> Nanos {
+        window_of(claim.plan, context).time_to_next()
+    }
+
+    /// A known customer's record as it is.
+    pub(super) fn known_customer(&self, customer: CustomerId) -> Option<&CustomerRecord> {
+        self.customers.get(&customer)
+    }
+
+    /// A known customer's record as it is, to be changed.
+    pub(super) fn known_customer_mut(
+        &mut self,
+        customer: CustomerId,
+    ) -> Option<&mut CustomerRecord> {
+        self.customers.get_mut(&customer)
+    }
+
+    /// A customer's record as it is; a new one for an unknown customer.
+    pub(super) fn customer(&mut self, customer: CustomerId) -> &mut CustomerRecord {
+        let started_at = self.started_at;
+        self.customers
+            .entry(customer)
+            .or_insert_with(|| CustomerRecord::new(started_at))
+    }
+
+    /// A customer's record, rolled over to the current window.
+    pub(super) fn current_customer(
+        &mut self,
+        customer: CustomerId,
+        window: &Window,
+        now: Nanos,
+    ) -> &mut CustomerRecord {
+        let record = self.customer(customer);
+        record.roll_over(window, now);
+        record
+    }
+
+    /// Calls the counter for a window's count.
+    pub(super) fn call_counter(
+        &mut self,
+        key: WindowKey,
+        amount: f64,
+        request: Option<RequestId>,
+        window: &Window,
+        context: &mut Context,
+    ) {
+        let name = key.counter_name();
+        context.push(Action::Count {
+            name: name.clone(),
+            amount,
+            keep_for: window.lifetime_of_count(key.window),
+        });
+        let record = self.customer(key.customer);
+        if record.window == key.window {
+            record.current.record_call(amount);
         }
+        let confirmed = record.current.confirmed;
+        let call = CounterCall {
+            key,
+            amount,
+            request,
+            confirmed,
+        };
+        self.pending_calls.push(name, call);
     }
 
-    /// The customer's record, rolled over to the current window.
-    pub(super) fn customer(&mut self, customer: CustomerId, window: Window) -> &mut CustomerQuota {
-        let quota = self.customers.entry(customer).or_default();
-        quota.roll_over(window);
-        quota
+    /// Corrects the charge of a claim by a number of units.
+    pub(crate) fn adjust(
+        &mut self,
+        claim: &QuotaClaim,
+        units: f64,
+        correction: Correction,
+        context: &mut Context,
+    ) {
+        let Some(charge) = claim.charge else { return };
+        let amount = charge.weight * units;
+        let window = window_of(claim.plan, context);
+        // A call for each settlement would overload the counter: a frequent customer's next call includes it.
+        let may_wait = correction == Correction::Settlement
+            && frequency_of(claim, &window, context) == CustomerFrequency::Frequent;
+        let record = self.current_customer(claim.customer, &window, context.now());
+        if record.window == charge.window {
+            if may_wait {
+                record.current.unsent += amount;
+                return;
+            }
+            record.current.pending += amount;
+        }
+        let key = WindowKey {
+            customer: claim.customer,
+            window: charge.window,
+        };
+        self.call_counter(key, amount, None, &window, context);
     }
 
-    /// Records the first attempt of a request, which uses the ceiling.
-    pub(crate) fn record_first_attempt(&mut self, claim: &QuotaClaim) {
-        let units = if self.has_ceiling(claim) {
-            claim.units
+    /// Records the reply to a call. Returns the requests that it makes ready for a verdict; `None`: no call of
+    /// this name is pending.
+    pub(crate) fn record_reply(
+        &mut self,
+        name: &str,
+        reply: CounterReply,
+        context: &mut Context,
+    ) -> Option<ReadyForVerdict> {
+        let call = self.pending_calls.take_oldest(name)?;
+        let timeout = context.settings().counter.timeout;
+        if let Some(event) = self.sampler.record_reply(&reply, timeout) {
+            context.push(Action::Log { event });
+        }
+        let record = self.customer(call.key.customer);
+        if call.is_read() {
+            return Some(record_previous_total(record, &call, &reply));
+        }
+        if record.window == call.key.window {
+            record.current.record_reply(&call, &reply);
+        }
+        let basis = if reply.is_good() {
+            VerdictBasis::CounterTotal
         } else {
-            0.0
+            VerdictBasis::LocalKnowledge
         };
-        let quota = self.customers.entry(claim.customer).or_default();
-        quota.ceiling_tokens -= units;
-        quota.open_attempts += 1;
+        Some(ReadyForVerdict {
+            requests: Vec::from_iter(call.request),
+            basis,
+        })
     }
 
-    /// Records a retry, which counts against the cap on concurrent attempts only.
-    pub(crate) fn record_retry(&mut self, claim: &QuotaClaim) {
-        self.customers
-            .entry(claim.customer)
-            .or_default()
-            .open_attempts += 1;
+    /// Removes customers once both of their windows are over and their ceiling has refilled. Without this,
+    /// customers that come once would accumulate.
+    pub(crate) fn remove_unused(&mut self, context: &Context) {
+        let oldest = context.now().saturating_sub(record_lifetime(context));
+        self.customers.retain(|_, record| record.is_in_use(oldest));
+        self.pending_calls.remove_unused();
+    }
+
+    pub(crate) fn counter_calls_snapshot(&self) -> CounterCallsSnapshot {
+        self.sampler.snapshot()
     }
 
-    /// Records the end of an attempt.
-    pub(crate) fn record_attempt_end(&mut self, customer: CustomerId) {
-        if let Some(quota) = self.customers.get_mut(&customer) {
-            quota.open_attempts = quota.open_attempts.saturating_sub(1);
+    /// The customers seen last.
+    pub(crate) fn customer_snapshots(&self) -> Vec<CustomerSnapshot> {
+        let mut customers: Vec<_> = self.customers.iter().collect();
+        customers.sort_by_key(|(_, record)| Reverse(record.last_seen));
+        let latest = customers.into_iter().take(MAX_SNAPSHOT_CUSTOMERS);
+        latest.map(|(id, record)| record.snapshot(*id)).collect()
+    }
+
+    /// Continues from a predecessor's snapshot. Customers that are already known stay as they are.
+    pub(crate) fn restore(
+        &mut self,
+        counter_calls: CounterCallsSnapshot,
+        customers: &[CustomerSnapshot],
+        now: Nanos,
+    ) {
+        self.sampler.restore(counter_calls);
+        for customer in customers {
+            let record = CustomerRecord::from_snapshot(customer, self.started_at, now);
+            self.customers
+                .entry(CustomerId(customer.customer))
+                .or_insert(record);
         }
     }
+}
 
-    /// Removes customers once both of their windows are over and their ceiling has refilled. Kept, customers
-    /// that come once would accumulate.
-    pub(crate) fn remove_unused(&mut self) {
-        let with_rate =
-            (0..self.settings.plans.len()).filter(|&plan| self.settings.plans[plan].rate > 0.0);
-        let windows = with_rate
-            .map(|plan| 2 * self.window(plan).length)
-            .max()
-            .unwrap_or(0);
-        let refill_time = |plan: &Plan| to_nanos(plan.ceiling_burst / plan.ceiling_rate);
-        let with_ceiling = self
-            .settings
-            .plans
-            .iter()
-            .filter(|plan| plan.ceiling_rate > 0.0);
-        let lifetime = with_ceiling
-            .map(refill_time)
-            .max()
-            .unwrap_or(0)
-            .max(windows)
-            .max(SECOND);
-        let oldest = self.now.saturating_sub(lifetime);
-        self.customers
-            .retain(|_, quota| quota.open_attempts > 0 || quota.last_seen >= oldest);
-        self.calls.retain(|_, calls| !calls.is_empty());
+/// The present window of a plan.
+pub(super) fn window_of(plan: PlanIndex, context: &Context) -> Window {
+    Window::of_plan(context.plan(plan), context.settings(), context.now())
+}
+
+/// How often requests of a claim's customer come through this limiter.
+pub(super) fn frequency_of(
+    claim: &QuotaClaim,
+    window: &Window,
+    context: &Context,
+) -> CustomerFrequency {
+    if window.is_customer_frequent(claim.spread, context.settings()) {
+        CustomerFrequency::Frequent
+    } else {
+        CustomerFrequency::Infrequent
+    }
+}
+
+/// Records the reply to a read of the previous window. Returns the requests that waited for it: the verdict
+/// follows from the totals also where the read failed.
+fn record_previous_total(
+    record: &mut CustomerRecord,
+    call: &CounterCall,
+    reply: &CounterReply,
+) -> ReadyForVerdict {
+    if record.window == call.key.window + 1 {
+        let previous = &mut record.previous;
+        if reply.is_good() {
+            previous.total = previous.total.max(reply.total);
+        }
+        previous.is_read = reply.is_good();
     }
+    ReadyForVerdict {
+        requests: std::mem::take(&mut record.previous.awaiting_read),
+        basis: VerdictBasis::CounterTotal,
+    }
+}
+
+/// How long after its last request a customer's record may still matter.
+fn record_lifetime(context: &Context) -> Nanos {
+    let plans = &context.settings().plans;
+    let two_windows = |plan: &Plan| two_windows(plan, context.settings(), context.now());
+    let refill_time = |plan: &Plan| to_nanos(plan.ceiling_burst / plan.ceiling_rate);
+    let with_rate = plans.iter().filter(|plan| plan.rate > 0.0);
+    let with_ceiling = plans.iter().filter(|plan| plan.ceiling_rate > 0.0);
+    let longest_windows = with_rate.map(two_windows).max().unwrap_or(0);
+    let longest_refill = with_ceiling.map(refill_time).max().unwrap_or(0);
+    longest_refill.max(longest_windows).max(SECOND)
+}
+
+fn two_windows(plan: &Plan, settings: &Settings, now: Nanos) -> Nanos {
+    2 * Window::of_plan(plan, settings, now).length
 }
--- a/crates/decision/src/quota/verdict.rs
+++ b/crates/decision/src/quota/verdict.rs
@@ -1,165 +1,192 @@
 //! Verdicts on claims, by the counter's totals or without them.
 
-use super::counter::MIN_CALL_RATIO;
-use super::window::RECENT_UNITS_LIFETIME_SECONDS;
-use super::*;
-use crate::api::*;
-use crate::units::to_seconds;
+use super::call_sampler::{CallSampling, CustomerFrequency};
+use super::claim::{Charge, QuotaClaim, Verdict};
+use super::counter_calls::WindowKey;
+use super::record::{CustomerRecord, RECENT_UNITS_LIFETIME_SECONDS};
+use super::tracker::{frequency_of, window_of};
+use super::window::Window;
+use super::QuotaTracker;
+use crate::api::{Nanos, Plan, RequestId, Timer};
+use crate::context::Context;
 
-/// Part of its latency objective that a request waits for the counter at most.
-pub(crate) const COUNTER_WAIT_OBJECTIVE_FRACTION: f64 = 0.1;
 /// A customer is assumed to use this part of its quota until more is known, which counts like so many units.
 const ASSUMED_USE: f64 = 0.7;
 const ASSUMED_USE_UNITS: f64 = 4.0;
 /// Part of its quota above which a customer is rejected without a call. Bounds of 2.2, 1.6, 1.35 gave better
 /// results in this order (0.33, 0.47, 0.51, the mean of six days of 100 limiters).
 const MAX_ESTIMATED_USE: f64 = 1.35;
-/// Weight of one more request in the mean need, and the lower bound of needs in a quotient.
-const NEED_SMOOTHING: f64 = 0.1;
-const MIN_NEED: f64 = 1e-9;
 
 impl QuotaTracker {
-    /// The verdict on a new request. Stores in the claim what was charged.
+    /// The verdict on a new request, which may wait for the counter up to a timeout. Stores in the claim how it
+    /// was charged.
     pub(crate) fn claim(
         &mut self,
         id: RequestId,
         claim: &mut QuotaClaim,
-        wait: CounterWait,
-        actions: &mut Actions,
+        timeout: Nanos,
+        context: &mut Context,
     ) -> Verdict {
-        let window = self.window(claim.plan);
-        let sampling = self.sample_call(claim, window);
-        let is_skipped = self.call_ratio < 1.0 && wait.draw >= sampling.probability;
-        let quota = self.customer(claim.customer, window);
-        let is_over = quota.is_over(quota.previous_total, quota.total + quota.unsent, window);
+        let random_sample = context.random_fraction();
+        let window = window_of(claim.plan, context);
+        let sampling = self.sample_call(claim, &window, context);
+        let is_call_skipped = self.sampler.is_call_skipped(sampling, random_sample);
+        let record = self.current_customer(claim.customer, &window, context.now());
         // A customer whose total is over its limit causes no calls until the estimate has fallen.
-        if is_over && quota.is_total_known {
+        let total = record.current.total + record.current.unsent;
+        let is_over_quota = record.is_over_quota(record.previous.total, total, &window);
+        if is_over_quota && record.current.is_total_known {
             return Verdict::OverQuota;
         }
-        if is_skipped {
-            return self.judge_locally(claim);
+        if is_call_skipped {
+            return self.judge_locally(claim, context);
         }
-        let amount = sampling.weight * claim.units + quota.unsent;
-        quota.unsent = 0.0;
-        quota.pending += amount;
+        let amount = sampling.weight * claim.units + record.current.take_unsent();
+        record.current.pending += amount;
         let key = WindowKey {
             customer: claim.customer,
-            window: quota.window,
+            window: record.window,
         };
         claim.charge = Some(Charge {
             window: key.window,
             weight: sampling.weight,
         });
-        self.call_counter(key, amount, Some(id), window, actions);
-        actions.push(Action::SetTimer {
-            timer: Timer::CounterWait { id },
-            after: wait.timeout,
-        });
+        self.call_counter(key, amount, Some(id), &window, context);
+        context.set_timer(Timer::CounterWait { id }, timeout);
         Verdict::AwaitingCounter
     }
 
-    /// Samples the requests that call the counter: more than it answers in time lengthen its queue. The
-    /// probability follows the amount that a request would add, as totals are wrong by what they lack.
-    fn sample_call(&mut self, claim: &QuotaClaim, window: Window) -> CallSampling {
-        let quota = self.customer(claim.customer, window);
-        quota.recent_units += claim.units;
-        let need = (claim.units + quota.unsent).max(0.0) / window.refill;
-        self.mean_need += NEED_SMOOTHING * (need - self.mean_need);
-        let relative_need = need.max(MIN_NEED) / self.mean_need.max(MIN_NEED);
-        if self.is_frequent(window, claim.spread) {
-            return CallSampling {
-                probability: (self.call_ratio * relative_need).min(1.0),
-                weight: 1.0,
-            };
-        }
-        // No later call includes what an infrequent customer did not send: this one stands for all like it.
-        let probability = self.call_ratio.powf(1.0 / relative_need);
-        CallSampling {
-            probability,
-            weight: 1.0 / probability.max(MIN_CALL_RATIO),
-        }
+    /// Records a request's need and samples whether it calls the counter.
+    fn sample_call(
+        &mut self,
+        claim: &QuotaClaim,
+        window: &Window,
+        context: &Context,
+    ) -> CallSampling {
+        let record = self.current_customer(claim.customer, window, context.now());
+        record.recent_units += claim.units;
+        let amount = (claim.units + record.current.unsent).max(0.0);
+        let need = amount / window.refill;
+        self.sampler
+            .sample(need, frequency_of(claim, window, context))
     }
 
-    /// The verdict by the estimate over two windows. The previous one is read once, if its total decides.
+    /// The verdict by the sliding window estimate, once the counter's total is known. The total of the previous
+    /// window is read once, if it decides.
     pub(crate) fn judge(
         &mut self,
         id: RequestId,
         claim: &QuotaClaim,
-        draw: f64,
-        actions: &mut Actions,
+        context: &mut Context,
     ) -> Verdict {
-        let window = self.window(claim.plan);
-        let is_skipped = draw >= self.call_ratio;
-        let quota = self.customer(claim.customer, window);
-        let Some(charge) = claim.charge.filter(|charge| charge.window == quota.window) else {
-            return self.judge_locally(claim);
+        let window = window_of(claim.plan, context);
+        let is_read_skipped = self.sampler.is_read_skipped(context.random_fraction());
+        let record = self.current_customer(claim.customer, &window, context.now());
+        let Some(charge) = claim.charge_in(record.window) else {
+            return self.judge_locally(claim, context);
         };
-        // Of the amount that was added, only the request's own units are its use.
-        let total = quota.total - (charge.weight - 1.0) * claim.units;
-        if quota.is_over(quota.previous_total, total, window) {
+        // Of the added amount, only the request's own units are its use.
+        let total = record.current.total - charge.amount_for_others(claim.units);
+        if record.is_over_quota(record.previous.total, total, &window) {
             return Verdict::OverQuota;
         }
-        let max_previous = quota
-            .previous_total
-            .max(quota.previous_credit + window.refill);
-        if quota.is_previous_read || !quota.is_over(max_previous, total, window) {
+        let max_previous = record.max_previous_total(&window);
+        if record.previous.is_read || !record.is_over_quota(max_previous, total, &window) {
             return Verdict::Pass;
         }
-        let is_first = quota.awaiting_previous.is_empty();
-        if is_skipped && is_first {
-            return self.judge_locally(claim);
+        let is_first = record.previous.awaiting_read.is_empty();
+        if is_read_skipped && is_first {
+            return self.judge_locally(claim, context);
         }
-        quota.awaiting_previous.push(id);
+        record.previous.awaiting_read.push(id);
         if is_first {
             let previous = WindowKey {
                 customer: claim.customer,
-                window: quota.window.saturating_sub(1),
+                window: record.window.saturating_sub(1),
             };
-            self.call_counter(previous, 0.0, None, window, actions);
+            self.call_counter(previous, 0.0, None, &window, context);
         }
         Verdict::AwaitingCounter
     }
 
-    /// The verdict without the counter: a customer passes unless known to be over its quota or share.
-    pub(crate) fn judge_locally(&mut self, claim: &QuotaClaim) -> Verdict {
-        let units = claim.units;
-        let rate = self.settings.plans[claim.plan].rate;
-        let window = self.window(claim.plan);
-        let local_ratio = if self.settings.counter.is_available {
-            1.0 - self.call_ratio
-        } else {
-            1.0
-        };
-        let is_frequent = self.is_frequent(window, claim.spread);
-        let quota = self.customer(claim.customer, window);
-        let charge = claim.charge.filter(|charge| charge.window == quota.window);
-        let uncharged = if charge.is_some() { 0.0 } else { units };
-        let total = quota.total - charge.map_or(0.0, |charge| (charge.weight - 1.0) * units);
-        let share = quota.local_share(claim.spread, window.refill);
-        let gained = to_seconds(window.now - quota.local_refilled_at) * rate * share * local_ratio;
-        quota.local_tokens = (quota.local_tokens + gained).min((window.refill * share).max(units));
-        quota.local_refilled_at = window.now;
-        if quota.is_over(quota.previous_total, total, window) {
+    /// The verdict without the counter: a customer passes unless it is known to be over its quota, or over this
+    /// limiter's share of it.
+    pub(crate) fn judge_locally(&mut self, claim: &QuotaClaim, context: &Context) -> Verdict {
+        let plan = context.plan(claim.plan);
+        let window = window_of(claim.plan, context);
+        let frequency = frequency_of(claim, &window, context);
+        let local_ratio = self.local_ratio(context);
+        let record = self.current_customer(claim.customer, &window, context.now());
+        let share = record.local_share(claim.spread, window.refill);
+        let since_refill = record.local_tokens.seconds_since_refill(context.now());
+        // Multiplied in this order: another one rounds otherwise.
+        let gained = since_refill * plan.rate * share * local_ratio;
+        let capacity = (window.refill * share).max(claim.units);
+        record.local_tokens.refill(context.now(), gained, capacity);
+
+        let use_in_window = LocalUse::of_claim(claim, record);
+        if record.is_over_quota(record.previous.total, use_in_window.total, &window) {
             return Verdict::OverQuota;
         }
-        // Without its share, every limiter would grant the whole credit against totals that it does not know.
-        let scaled = total + (quota.pending + quota.unsent + uncharged) / share;
-        let exceeds_share = window.estimate(quota.previous_total, scaled) > window.refill;
-        // A share too small for tokens still shows a customer far over its quota.
-        let expected =
-            rate * RECENT_UNITS_LIFETIME_SECONDS / f64::from(claim.spread) + ASSUMED_USE_UNITS;
-        let estimated_use = (quota.recent_units + ASSUMED_USE * ASSUMED_USE_UNITS) / expected;
-        let lacks_tokens = quota.local_tokens < units && exceeds_share;
-        let is_over_share = if is_frequent {
-            lacks_tokens
-        } else {
-            estimated_use > MAX_ESTIMATED_USE
+        let is_over_share = match frequency {
+            CustomerFrequency::Frequent => {
+                record.local_tokens.tokens() < claim.units
+                    && use_in_window.exceeds_share(record, &window, share)
+            }
+            CustomerFrequency::Infrequent => estimated_use(record, claim, plan) > MAX_ESTIMATED_USE,
         };
         if is_over_share {
             return Verdict::OverLocalShare;
         }
-        quota.local_tokens -= units;
-        quota.unsent += if is_frequent { uncharged } else { 0.0 };
+        record.local_tokens.take(claim.units);
+        if frequency == CustomerFrequency::Frequent {
+            record.current.unsent += use_in_window.uncharged;
+        }
         Verdict::Pass
     }
+
+    /// Part of the requests that is judged without the counter.
+    fn local_ratio(&self, context: &Context) -> f64 {
+        if context.settings().counter.is_available {
+            1.0 - self.call_ratio()
+        } else {
+            1.0
+        }
+    }
+}
+
+/// A customer's use in the current window as this limiter knows it when it judges a claim.
+struct LocalUse {
+    /// Total of the counter, less the amount that the claim's charge added for other requests.
+    total: f64,
+    /// Units of the claim that no call has added.
+    uncharged: f64,
+}
+
+impl LocalUse {
+    fn of_claim(claim: &QuotaClaim, record: &CustomerRecord) -> Self {
+        let charge = claim.charge_in(record.window);
+        let charged_for_others = charge.map_or(0.0, |charge| charge.amount_for_others(claim.units));
+        LocalUse {
+            total: record.current.total - charged_for_others,
+            uncharged: if charge.is_some() { 0.0 } else { claim.units },
+        }
+    }
+
+    /// Whether the use exceeds the refill of a window, where this limiter's own units that are in no total
+    /// stand for those of all limiters. Unscaled, every limiter would grant the whole credit against totals
+    /// that it does not know.
+    fn exceeds_share(&self, record: &CustomerRecord, window: &Window, share: f64) -> bool {
+        let counts = &record.current;
+        let scaled = self.total + (counts.pending + counts.unsent + self.uncharged) / share;
+        window.estimate(record.previous.total, scaled) > window.refill
+    }
+}
+
+/// Use of an infrequent customer as a part of its quota, by the units that came through this limiter recently.
+/// A share too small for tokens still shows a customer far over its quota.
+fn estimated_use(record: &CustomerRecord, claim: &QuotaClaim, plan: &Plan) -> f64 {
+    let even_part = plan.rate * RECENT_UNITS_LIFETIME_SECONDS / f64::from(claim.spread);
+    let expected_units = even_part + ASSUMED_USE_UNITS;
+    (record.recent_units + ASSUMED_USE * ASSUMED_USE_UNITS) / expected_units
 }
--- a/crates/decision/src/snapshot/data.rs
+++ b/crates/decision/src/snapshot/data.rs
@@ -53,17 +53,17 @@
     /// Part of the requests that is admitted.
     pub ratio: f64,
     /// Mean answer time as a part of the latency objective.
-    pub mean_lateness: f64,
+    pub mean_objective_ratio: f64,
     /// Time of the last answer.
     pub measured_at: Nanos,
     /// Mean answer time of successful attempts, as a part of the objective.
-    pub success_lateness: f64,
+    pub success_objective_ratio: f64,
 }
 impl_array_form!(AdmissionSnapshot {
     ratio: f64,
-    mean_lateness: f64,
+    mean_objective_ratio: f64,
     measured_at: Nanos,
-    success_lateness: f64
+    success_objective_ratio: f64
 });
 
 /// Answer times of a class.
@@ -91,7 +91,8 @@
     /// Start of the process; the measurements do not hold for another one.
     pub started: Nanos,
     /// Answer times.
-    pub slowness: SlownessSnapshot,
+    #[serde(rename = "slowness")]
+    pub latency: LatencyScoreSnapshot,
     /// Attempts that it takes at once.
     #[serde(rename = "room")]
     pub concurrency_limit: f64,
@@ -100,17 +101,17 @@
 /// Answer times of a host.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(f64, f64, Nanos)", into = "(f64, f64, Nanos)")]
-pub struct SlownessSnapshot {
+pub struct LatencyScoreSnapshot {
     /// Mean as a multiple of the class's mean.
-    pub value: f64,
+    pub score: f64,
     /// Number of answers in the mean.
-    pub evidence: f64,
+    pub sample_weight: f64,
     /// Time of the last answer.
     pub measured_at: Nanos,
 }
-impl_array_form!(SlownessSnapshot {
-    value: f64,
-    evidence: f64,
+impl_array_form!(LatencyScoreSnapshot {
+    score: f64,
+    sample_weight: f64,
     measured_at: Nanos
 });
 
@@ -121,13 +122,13 @@
     /// The zone.
     pub zone: u32,
     /// Mean as a multiple of the class's mean.
-    pub slowness: f64,
+    pub score: f64,
     /// Time of the last answer.
     pub measured_at: Nanos,
 }
 impl_array_form!(ZoneSnapshot {
     zone: u32,
-    slowness: f64,
+    score: f64,
     measured_at: Nanos
 });
 
--- a/crates/simulation/tests/simulation.rs
+++ b/crates/simulation/tests/simulation.rs
@@ -12,7 +12,7 @@
 const S: Nanos = 1_000 * MS;
 const START: Nanos = 1_000_000 * S;
 
-fn settings() -> Settings {
+fn classes() -> Vec<Class> {
     let class = |name: &str, effect, latency_objective, deadline| Class {
         name: name.into(),
         effect,
@@ -24,11 +24,15 @@
         late_weight: 0.2,
         ..Class::default()
     };
+    vec![
+        class("bed-check", Effect::Idempotent, 2 * S, 7_500 * MS),
+        class("bed-hold", Effect::IdempotentWithKey, S, 4 * S),
+    ]
+}
+
+fn settings() -> Settings {
     Settings {
-        classes: vec![
-            class("bed-check", Effect::Idempotent, 2 * S, 7_500 * MS),
-            class("bed-hold", Effect::IdempotentWithKey, S, 4 * S),
-        ],
+        classes: classes(),
         plans: vec![Plan {
             name: "guide".into(),
             rate: 1.6,
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -21,15 +21,20 @@
     }
 }
 
-/// One plan of 12.5 units a second with a burst of 40; classes: retryable, keyed (cell), keyed (all), unsafe.
+/// The classes: idempotent, with a key (deduplicated in a cell), with a key (by all hosts), unsafe.
+fn classes() -> Vec<Class> {
+    vec![
+        class(Effect::Idempotent, DedupScope::All),
+        class(Effect::IdempotentWithKey, DedupScope::Cell),
+        class(Effect::IdempotentWithKey, DedupScope::All),
+        class(Effect::Unsafe, DedupScope::Cell),
+    ]
+}
+
+/// One plan of 12.5 units a second with a burst of 40, and the classes of [`classes`].
 pub fn settings() -> Settings {
     Settings {
-        classes: vec![
-            class(Effect::Idempotent, DedupScope::All),
-            class(Effect::IdempotentWithKey, DedupScope::Cell),
-            class(Effect::IdempotentWithKey, DedupScope::All),
-            class(Effect::Unsafe, DedupScope::Cell),
-        ],
+        classes: classes(),
         plans: vec![Plan {
             rate: 12.5,
             burst: 40.0,
--- a/tests/rules/robustness.rs
+++ b/tests/rules/robustness.rs
@@ -173,8 +173,9 @@
         rig.now += S;
         rig.timer(Timer::Sweep);
     }
-    let held = format!("{:?}", rig.engine);
-    // Two windows of 4 s, and the four hosts that are still there.
-    assert!(held.matches("last_seen").count() <= 10, "{held}");
-    assert_eq!(held.matches("evidence").count(), 4);
+    let records = rig.engine.snapshot();
+    // Two windows of 4 s, and the four hosts that are still listed.
+    let customer_count = records.customers.len();
+    assert!(customer_count <= 10, "{customer_count} customers");
+    assert_eq!(records.hosts.len(), 4);
 }
--- a/tests/rules/succession.rs
+++ b/tests/rules/succession.rs
@@ -3,7 +3,7 @@
 use crate::common::*;
 use quartzcleat::api::*;
 use quartzcleat::choice::{
-    AdmissionSnapshot, CounterCallsSnapshot, EngineSnapshot, SlownessSnapshot, TimedUnits,
+    AdmissionSnapshot, CounterCallsSnapshot, EngineSnapshot, LatencyScoreSnapshot, TimedUnits,
 };
 
 /// A limiter with measured answer times, requests of 31 customers and one attempt in flight.
@@ -49,8 +49,8 @@
     rig
 }
 
-fn slowness(rig: &Rig, host: usize) -> f64 {
-    rig.engine.snapshot().hosts[host - 1].slowness.value
+fn latency_score(rig: &Rig, host: usize) -> f64 {
+    rig.engine.snapshot().hosts[host - 1].latency.score
 }
 
 /// A successor continues from the snapshot, but not for a host that is another process now and not for requests in
@@ -59,10 +59,10 @@
 fn successor_continues_from_snapshot() {
     let first = predecessor();
     let snapshot = first.engine.snapshot();
-    assert!(slowness(&first, 2) > 2.0 && snapshot.customers.len() == 31);
+    assert!(latency_score(&first, 2) > 2.0 && snapshot.customers.len() == 31);
     let second = successor(&snapshot, 0);
-    assert_eq!(slowness(&second, 2), slowness(&first, 2));
-    assert_eq!(slowness(&second, 1), 1.0, "it is a new process");
+    assert_eq!(latency_score(&second, 2), latency_score(&first, 2));
+    assert_eq!(latency_score(&second, 1), 1.0, "it is a new process");
     let restored = second.engine.snapshot();
     assert_eq!(
         (
@@ -100,17 +100,17 @@
         },
         admission: AdmissionSnapshot {
             ratio: 9.0,
-            mean_lateness: f64::INFINITY,
+            mean_objective_ratio: f64::INFINITY,
             measured_at: u64::MAX,
-            success_lateness: -1.0,
+            success_objective_ratio: -1.0,
         },
         concurrency_limit: f64::NAN,
         ..predecessor().engine.snapshot()
     };
     for host in &mut broken.hosts {
-        host.slowness = SlownessSnapshot {
-            value: -5.0,
-            evidence: 1e300,
+        host.latency = LatencyScoreSnapshot {
+            score: -5.0,
+            sample_weight: 1e300,
             measured_at: u64::MAX,
         };
         host.concurrency_limit = 0.0;
--- a/tests/snapshot.rs
+++ b/tests/snapshot.rs
@@ -2,8 +2,8 @@
 
 use quartzcleat::choice::{
     AdmissionSnapshot, ClassSnapshot, ConfirmedSnapshot, CounterCallsSnapshot, CustomerSnapshot,
-    EngineSnapshot, HostSnapshot, OwnAddsSnapshot, SlownessSnapshot, TimedUnits, TotalsSnapshot,
-    ZoneSnapshot,
+    EngineSnapshot, HostSnapshot, LatencyScoreSnapshot, OwnAddsSnapshot, TimedUnits,
+    TotalsSnapshot, ZoneSnapshot,
 };
 
 /// A snapshot as the first version with handoff files writes it.
@@ -47,9 +47,9 @@
         },
         admission: AdmissionSnapshot {
             ratio: 0.75,
-            mean_lateness: 0.125,
+            mean_objective_ratio: 0.125,
             measured_at: 999_000_000_000,
-            success_lateness: 0.0625,
+            success_objective_ratio: 0.0625,
         },
         mean_weight_rate: 3.5,
         concurrency_limit: 1.5,
@@ -57,16 +57,16 @@
         hosts: vec![HostSnapshot {
             host: 7,
             started: 12,
-            slowness: SlownessSnapshot {
-                value: 1.25,
-                evidence: 4.0,
+            latency: LatencyScoreSnapshot {
+                score: 1.25,
+                sample_weight: 4.0,
                 measured_at: 998_000_000_000,
             },
             concurrency_limit: 2.5,
         }],
         zones: vec![ZoneSnapshot {
             zone: 3,
-            slowness: 1.5,
+            score: 1.5,
             measured_at: 997_000_000_000,
         }],
         customers: vec![stored_customer()],
