--- a/src/net/admin/mod.rs
+++ b/src/net/admin/mod.rs
@@ -10,7 +10,8 @@
 use super::config::Limits;
 use super::discovery::DiscoveryClient;
 use super::hot_restart::HotRestart;
-use super::shutdown::{unix, Shutdown};
+use super::shutdown::Shutdown;
+use super::unix_time;
 use quartzcleat_admin::{AdminRequest, RequestError, UnknownHost};
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -22,13 +23,30 @@
 /// What requests to the admin interface read and change.
 pub struct AdminContext {
     /// Sizes, counts and times.
-    pub limits: Rc<Limits>,
+    limits: Rc<Limits>,
     /// Puts hosts into maintenance, and knows which were ever listed.
-    pub discovery: Rc<DiscoveryClient>,
+    discovery: Rc<DiscoveryClient>,
     /// Drains the clients.
-    pub shutdown: Rc<Shutdown>,
-    /// Is told of each change.
-    pub hot_restart: Rc<HotRestart>,
+    shutdown: Rc<Shutdown>,
+    /// Publishes each change to the other process of this limiter.
+    hot_restart: Rc<HotRestart>,
+}
+
+impl AdminContext {
+    /// The context of a limiter's admin interface.
+    pub fn new(
+        limits: &Rc<Limits>,
+        discovery: &Rc<DiscoveryClient>,
+        shutdown: &Rc<Shutdown>,
+        hot_restart: &Rc<HotRestart>,
+    ) -> Self {
+        AdminContext {
+            limits: limits.clone(),
+            discovery: discovery.clone(),
+            shutdown: shutdown.clone(),
+            hot_restart: hot_restart.clone(),
+        }
+    }
 }
 
 /// The answer to a request.
@@ -135,7 +153,7 @@
             sleep(context.limits.requests.deadline_margin).await;
         }
     };
-    // Past the time the request is answered with what is known.
+    // Past the time the request is answered by the hosts listed so far.
     let _ = timeout(context.limits.admin.first_list_timeout, wait).await;
 }
 
@@ -175,7 +193,7 @@
         .discovery
         .maintenance()
         .borrow_mut()
-        .disable(name, unix());
+        .disable(name, unix_time::now());
     match disabled {
         Err(UnknownHost) => unknown_host(context),
         Ok(has_changed) => {
@@ -193,7 +211,7 @@
         .discovery
         .maintenance()
         .borrow_mut()
-        .enable(name, unix());
+        .enable(name, unix_time::now());
     match enabled {
         Err(UnknownHost) => unknown_host(context),
         Ok(has_changed) => {
--- a/src/net/counter/link.rs
+++ b/src/net/counter/link.rs
@@ -2,8 +2,8 @@
 
 use super::answer::parse_answer;
 use super::call_queue::CallQueue;
+use super::client::CounterClient;
 use super::connection::CounterConnection;
-use super::CounterClient;
 use crate::net::config::{Addresses, Limits};
 use crate::net::resp::codec;
 use crate::net::task::spawn;
@@ -13,6 +13,13 @@
 use tokio::sync::watch;
 use tokio::time::{sleep_until, timeout, timeout_at, Instant};
 
+/// Starts a link for each of the client's queues.
+pub fn start(client: &Rc<CounterClient>) {
+    for queue in &client.queues {
+        spawn(Link::new(client.clone(), queue.clone()).run());
+    }
+}
+
 /// How many bytes are looked for on a connection that seems silent.
 const LAST_LOOK_BYTES: usize = 256;
 
--- a/src/net/counter/tests.rs
+++ b/src/net/counter/tests.rs
@@ -1,9 +1,14 @@
 //! Calls and answers that cross with time-outs, moves and broken connections.
 
 use super::answer::{parse_answer, CallOutcome};
-use super::*;
+use super::call_queue::CallQueue;
+use super::link::Link;
+use super::start;
+use crate::api::{Event, Outcome};
+use crate::net::task::spawn;
 use crate::net::tests::{next, with_limiter};
 use crate::net::Limiter;
+use std::rc::Rc;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{timeout, Instant};
--- a/src/net/discovery/crossings.rs
+++ b/src/net/discovery/crossings.rs
@@ -1,11 +1,12 @@
 //! When a change counts as notified, and answers of discovery that cross: scripted on real sockets.
 
 use super::*;
-use crate::api::HostState;
+use crate::api::{Event, HostState};
 use crate::net::config::parse;
 use crate::net::task::spawn;
 use crate::net::tests::{next, with_limiter};
 use crate::net::Limiter;
+use std::rc::Rc;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
--- a/src/net/discovery/tests.rs
+++ b/src/net/discovery/tests.rs
@@ -1,10 +1,11 @@
 //! Lists that are applied, maintenance above them, and a watch that is lost.
 
 use super::*;
-use crate::api::HostState;
+use crate::api::{Event, HostState, ListMode};
 use crate::net::task::spawn;
 use crate::net::tests::{next, with_limiter};
 use crate::net::Limiter;
+use std::rc::Rc;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::sleep;
@@ -21,7 +22,7 @@
 fn apply_list(client: &DiscoveryClient, version: u64, is_full: bool, name: &str, state: &str) {
     let text = list_text(version, is_full, name, state);
     let json = serde_json::from_str(&text).expect("JSON");
-    let list = client.endpoints.borrow_mut().parse(&json);
+    let list = client.endpoints().borrow_mut().parse(&json);
     client.apply(&list.expect("a list"));
 }
 
@@ -132,7 +133,7 @@
         }
         sleep(limiter.limits().upstream.drain_grace.get()).await;
         apply_list(client, 200, false, "s-50", "SERVING");
-        let counts = client.endpoints.borrow().counts();
+        let counts = client.endpoints().borrow().counts();
         assert_eq!(counts, (1, 1, 1));
     });
 }
--- a/src/net/discovery/watch.rs
+++ b/src/net/discovery/watch.rs
@@ -1,8 +1,9 @@
 //! Following discovery: a watch that is opened again whenever it ends, and a check of the full list beside it.
 
+use super::backoff::Backoff;
+use super::client::DiscoveryClient;
 use super::connection::{DiscoveryConnection, DiscoveryError, ListRequest};
 use super::endpoint_list::ReceivedList;
-use super::{Backoff, DiscoveryClient};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::time::{sleep, timeout, Instant};
@@ -10,8 +11,8 @@
 /// Follows discovery for good. Each request is sent as soon as the response before it has arrived; after a failure, and
 /// at a new address, the watch is opened again.
 pub async fn follow(client: Rc<DiscoveryClient>, mut backoff: Backoff) {
-    let mut addresses = client.addresses.clone();
-    if client.limits.discovery.is_polled {
+    let mut addresses = client.addresses();
+    if client.limits().discovery.is_polled {
         sleep(backoff.first()).await;
     }
     loop {
@@ -20,7 +21,7 @@
         tokio::select! {
             () = watch_once(&client, address, &mut backoff) => {}
             _ = addresses.changed() => {}
-            () = client.reopen_watch.notified() => {}
+            () = client.watch_reopening() => {}
         }
     }
 }
@@ -29,9 +30,7 @@
 async fn watch_once(client: &DiscoveryClient, address: SocketAddr, backoff: &mut Backoff) {
     if let Err(failure) = watch(client, address, backoff).await {
         tracing::warn!(error = %failure.error, "discovery watch failed");
-        if let Some(metrics) = &client.metrics {
-            metrics.borrow_mut().record_list_failure();
-        }
+        client.record_failure();
         if failure.reopen_at_once {
             return;
         }
@@ -60,7 +59,7 @@
     address: SocketAddr,
     backoff: &mut Backoff,
 ) -> Result<(), WatchFailure> {
-    let limits = &client.limits;
+    let limits = client.limits();
     let mut connection = timeout(
         limits.connect_timeout.get(),
         DiscoveryConnection::open(address),
@@ -71,7 +70,7 @@
     let opened_at = Instant::now();
     let mut has_answered = false;
     loop {
-        let lists_received = client.endpoints.borrow().lists_received();
+        let lists_received = client.endpoints().borrow().lists_received();
         let response = connection.get(&request, limits).await.map_err(|error| {
             // A connection that is lost right after its first answer is not opened again without a pause.
             let reopen_at_once = has_answered
@@ -82,7 +81,7 @@
                 reopen_at_once,
             }
         })?;
-        let list = client.endpoints.borrow_mut().parse(&response.list)?;
+        let list = client.endpoints().borrow_mut().parse(&response.list)?;
         request = process(client, &list, lists_received, &request)?;
         backoff.answered();
         has_answered = true;
@@ -105,9 +104,9 @@
 /// Where discovery is polled, the full list is expensive, and refused to everybody while many ask: the watch begins with
 /// the changes since the list in force.
 fn first_request(client: &DiscoveryClient) -> ListRequest {
-    let limits = &client.limits;
+    let limits = client.limits();
     if limits.discovery.is_polled {
-        ListRequest::changes_since(client.endpoints.borrow().version(), limits)
+        ListRequest::changes_since(client.endpoints().borrow().version(), limits)
     } else {
         ListRequest::full(limits.discovery.watch_grace)
     }
@@ -120,9 +119,9 @@
     lists_received: u64,
     request: &ListRequest,
 ) -> Result<ListRequest, DiscoveryError> {
-    let limits = &client.limits;
+    let limits = client.limits();
     let (supersedes, is_older) = {
-        let mut endpoints = client.endpoints.borrow_mut();
+        let mut endpoints = client.endpoints().borrow_mut();
         let supersedes = endpoints.is_superseded_by(list, lists_received);
         (supersedes, list.version < endpoints.version())
     };
@@ -146,28 +145,28 @@
 /// watch that is found to be behind is opened again.
 pub async fn check(client: Rc<DiscoveryClient>) {
     loop {
-        sleep(client.limits.discovery.full_list_interval).await;
+        sleep(client.limits().discovery.full_list_interval).await;
         check_once(&client).await;
     }
 }
 
 async fn check_once(client: &DiscoveryClient) {
-    let address = client.addresses.borrow().discovery;
-    let lists_received = client.endpoints.borrow().lists_received();
+    let address = client.address();
+    let lists_received = client.endpoints().borrow().lists_received();
     // The watch meets and reports whatever fails here.
     let Ok(Ok(list)) = timeout(
-        client.limits.discovery.full_list_timeout,
+        client.limits().discovery.full_list_timeout,
         full_list(client, address),
     )
     .await
     else {
         return;
     };
-    if client.addresses.borrow().discovery != address || !list.is_full {
+    if client.address() != address || !list.is_full {
         return;
     }
     let (supersedes, version) = {
-        let mut endpoints = client.endpoints.borrow_mut();
+        let mut endpoints = client.endpoints().borrow_mut();
         let supersedes = endpoints.is_superseded_by(&list, lists_received);
         (supersedes, endpoints.version())
     };
@@ -178,7 +177,7 @@
             "discovery watch is behind"
         );
         client.apply(&list);
-        client.reopen_watch.notify_one();
+        client.reopen_watch();
     }
 }
 
@@ -186,9 +185,9 @@
     client: &DiscoveryClient,
     address: SocketAddr,
 ) -> Result<ReceivedList, DiscoveryError> {
-    let limits = &client.limits;
+    let limits = client.limits();
     let connection = DiscoveryConnection::open(address).await?;
     let request = ListRequest::full(limits.discovery.full_list_timeout);
     let response = connection.get_and_close(&request, limits).await?;
-    Ok(client.endpoints.borrow_mut().parse(&response.list)?)
+    Ok(client.endpoints().borrow_mut().parse(&response.list)?)
 }
--- a/src/net/engine/clock.rs
+++ b/src/net/engine/clock.rs
@@ -1,7 +1,7 @@
 //! The clock of the decision engine: Unix time that never goes back.
 
 use crate::api::Nanos;
-use std::time::SystemTime;
+use crate::net::unix_time;
 use tokio::time::Instant;
 
 /// Unix time in nanoseconds, read once from the system and advanced by the monotonic clock.
@@ -11,24 +11,22 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
-    unix: Nanos,
+    /// The Unix time at `start`.
+    unix_start: Nanos,
 }
 
 impl Clock {
     /// A clock that starts from the system's time.
     pub fn new() -> Self {
-        let unix = SystemTime::UNIX_EPOCH
-            .elapsed()
-            .map_or(0, |age| age.as_nanos() as Nanos);
         Clock {
+            unix_start: unix_time::now(),
             start: Instant::now(),
-            unix,
         }
     }
 
     /// The time at `moment`, in nanoseconds since the Unix epoch.
     pub fn at(&self, moment: Instant) -> Nanos {
-        self.unix + moment.saturating_duration_since(self.start).as_nanos() as Nanos
+        self.unix_start + moment.saturating_duration_since(self.start).as_nanos() as Nanos
     }
 }
 
--- a/src/net/engine/mod.rs
+++ b/src/net/engine/mod.rs
@@ -2,6 +2,7 @@
 //!
 //! Knows no protocol: a frontend hands in a [`Request`] and gets one [`Answer`].
 
+mod call_result;
 mod clock;
 mod host_call;
 mod open_requests;
@@ -10,6 +11,7 @@
 #[cfg(test)]
 pub(crate) mod tests;
 
+pub use call_result::{CallResult, UsageFigures};
 pub use clock::Clock;
 pub use host_call::{Cancellation, Charge, HostCall, HostCommand};
 pub use open_requests::{AttemptId, AttemptOrder, OpenRequests, ReplyTo};
--- a/src/net/hot_restart/mod.rs
+++ b/src/net/hot_restart/mod.rs
@@ -5,37 +5,34 @@
 //! process that is about to accept clients, the one before it hands over its endpoint list and what its engine learned.
 
 pub mod listener_handover;
+mod local_process;
 mod shared_folder;
 
+pub use local_process::LocalProcess;
+
 use self::shared_folder::SharedFolder;
 use super::config::Limits;
 use super::discovery::DiscoveryClient;
 use super::engine::EngineDriver;
-use super::shutdown::{unix, Shutdown};
+use super::shutdown::Shutdown;
 use super::task::spawn;
 use crate::api::{Event, Nanos};
-use quartzcleat_admin::{DrainOrder, Handoff, LimiterIdentity, SharedState, FORMAT_VERSION};
+use quartzcleat_admin::{DrainOrder, Handoff, SharedState, FORMAT_VERSION};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
-use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::time::sleep;
 
-/// Owns what is known of the other process, and of what was published.
+/// The state that this process shares with the other process of its limiter.
 pub struct HotRestart {
     limits: Rc<Limits>,
     engine: Rc<EngineDriver>,
     discovery: Rc<DiscoveryClient>,
     shutdown: Rc<Shutdown>,
-    name: String,
-    listen: String,
-    /// When this process started, in Unix time.
-    started_at: Nanos,
-    /// `None` where there is no admin interface, and so no other process.
-    folder: Option<SharedFolder>,
+    process: LocalProcess,
     /// This process accepts clients.
     is_serving: Cell<bool>,
-    /// What was published last.
+    /// The state that was published last.
     published: Cell<Option<PublishedState>>,
     /// Processes that have ended, whose files are removed once their orders are published by this one.
     ended: RefCell<Vec<String>>,
@@ -47,7 +44,7 @@
     successors: RefCell<HashSet<String>>,
 }
 
-/// What the published state depends on.
+/// The values that the published state depends on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct PublishedState {
     maintenance_revision: u64,
@@ -55,32 +52,21 @@
     is_serving: bool,
 }
 
-/// The parts of a limiter that two of its processes share the state of.
-pub struct HotRestartParts {
-    /// Sizes, counts and times.
-    pub limits: Rc<Limits>,
-    /// Hands over what it has learned.
-    pub engine: Rc<EngineDriver>,
-    /// Hands over its endpoint list; maintenance of either process holds for both.
-    pub discovery: Rc<DiscoveryClient>,
-    /// Draining of either process holds for both.
-    pub shutdown: Rc<Shutdown>,
-}
-
 impl HotRestart {
-    /// Nothing is known of another process. `has_admin`: this process has an admin interface; without one there is no
-    /// other process.
-    pub fn new(parts: HotRestartParts, name: &str, listen: SocketAddr, has_admin: bool) -> Self {
-        let started_at = unix();
+    /// A process that has not looked for others yet.
+    pub fn new(
+        limits: &Rc<Limits>,
+        engine: &Rc<EngineDriver>,
+        discovery: &Rc<DiscoveryClient>,
+        shutdown: &Rc<Shutdown>,
+        process: LocalProcess,
+    ) -> Self {
         HotRestart {
-            limits: parts.limits,
-            engine: parts.engine,
-            discovery: parts.discovery,
-            shutdown: parts.shutdown,
-            name: name.to_owned(),
-            listen: listen.to_string(),
-            started_at,
-            folder: has_admin.then(|| SharedFolder::new(started_at)),
+            limits: limits.clone(),
+            engine: engine.clone(),
+            discovery: discovery.clone(),
+            shutdown: shutdown.clone(),
+            process,
             is_serving: Cell::default(),
             published: Cell::default(),
             ended: RefCell::default(),
@@ -99,14 +85,7 @@
     pub fn successor_serves(&self) -> bool {
         self.other_serving_since
             .get()
-            .is_some_and(|started_at| started_at > self.started_at)
-    }
-
-    fn identity(&self) -> LimiterIdentity<'_> {
-        LimiterIdentity {
-            name: &self.name,
-            listen: &self.listen,
-        }
+            .is_some_and(|started_at| started_at > self.process.started_at)
     }
 
     /// Publishes at short intervals from now on that this process accepts clients, and looks for other processes.
@@ -125,7 +104,7 @@
 
     /// Publishes the state of this process, if it has changed.
     pub fn publish(&self) {
-        let Some(folder) = &self.folder else {
+        let Some(folder) = &self.process.folder else {
             return;
         };
         let current = PublishedState {
@@ -150,9 +129,9 @@
         let maintenance = self.discovery.maintenance().borrow();
         SharedState {
             version: FORMAT_VERSION,
-            name: self.name.clone(),
-            listen: self.listen.clone(),
-            started_at: self.started_at,
+            name: self.process.name.clone(),
+            listen: self.process.listen.clone(),
+            started_at: self.process.started_at,
             is_serving: self.is_serving.get(),
             drain: self.shutdown.drain_order(),
             maintenance: maintenance.orders().clone(),
@@ -162,7 +141,7 @@
 
     /// Takes in what other processes of this limiter published; the orders of one that has ended hold too.
     pub fn look(&self) {
-        let Some(folder) = &self.folder else {
+        let Some(folder) = &self.process.folder else {
             return;
         };
         let Ok(processes) = folder.other_processes() else {
@@ -185,7 +164,7 @@
     /// Takes in what one process published; returns when it started, if it lives and accepts clients.
     fn look_at(&self, folder: &SharedFolder, process: &str) -> Option<Nanos> {
         let text = folder.read_state(process).ok()?;
-        let state = match SharedState::from_text(&text, self.identity()) {
+        let state = match SharedState::from_text(&text, self.process.identity()) {
             Ok(state) => state,
             Err(error) => {
                 let seen = self.seen.borrow_mut().insert(process.to_owned(), text);
@@ -196,7 +175,7 @@
             }
         };
         let is_alive = folder.is_alive(process);
-        let is_successor = !state.is_serving && state.started_at > self.started_at;
+        let is_successor = !state.is_serving && state.started_at > self.process.started_at;
         if is_alive && is_successor && self.is_serving.get() {
             self.hand_over(folder, process);
         }
@@ -237,7 +216,7 @@
         }
         let endpoints = self.discovery.endpoints().borrow();
         let handoff = Handoff::new(
-            self.identity(),
+            self.process.identity(),
             endpoints.zones().to_vec(),
             endpoints.to_json(),
             self.engine.snapshot(),
@@ -250,13 +229,13 @@
 
     /// Takes what another process handed over; returns whether nothing more is to be waited for.
     pub fn take_handoff(&self) -> bool {
-        let Some(folder) = &self.folder else {
+        let Some(folder) = &self.process.folder else {
             return true;
         };
         let Some(text) = folder.take_handoff() else {
             return false;
         };
-        match Handoff::from_text(&text, self.identity()) {
+        match Handoff::from_text(&text, self.process.identity()) {
             Ok(handoff) => self.apply_handoff(handoff),
             Err(error) => tracing::warn!(%error, "handoff ignored"),
         }
--- a/src/net/leases/node.rs
+++ b/src/net/leases/node.rs
@@ -2,7 +2,7 @@
 
 use super::clock::LeaseClock;
 use crate::net::peers::{DatagramKind, DropReason, Peers};
-use crate::net::shutdown::unix;
+use crate::net::unix_time;
 use quartzcleat_config::lease::{Lease, Task};
 use quartzcleat_lease::{
     stagger_delay, Acceptor, Body, FencingToken, Guard, LeaseTiming, Message, Nanos,
@@ -51,7 +51,7 @@
             acceptors: lease
                 .acceptors
                 .iter()
-                .map(|name| super::index_of_limiter(lease, name))
+                .map(|name| index_of_limiter(lease, name))
                 .collect(),
             acceptor: RefCell::new(Acceptor::new(timing, 0)),
             logged_tokens: RefCell::new(vec![None; lease.tasks.len()]),
@@ -236,10 +236,20 @@
     }
 }
 
+/// A limiter's index in the order of the names. The configuration has checked that the name is there.
+pub(super) fn index_of_limiter(lease: &Lease, name: &str) -> u32 {
+    lease
+        .limiters
+        .keys()
+        .position(|limiter| limiter == name)
+        .unwrap_or_default() as u32
+}
+
 fn new_proposers(lease: &Lease, node_id: u32, timing: LeaseTiming) -> Vec<Proposer> {
     let limiters: Vec<String> = lease.limiters.keys().cloned().collect();
     let wall_clock_offset = lease.clock_fault.wall_clock_offset_nanos;
-    let initial_round = unix().saturating_add_signed(wall_clock_offset) / NANOS_PER_MILLISECOND;
+    let initial_round =
+        unix_time::now().saturating_add_signed(wall_clock_offset) / NANOS_PER_MILLISECOND;
     let incarnation = new_incarnation();
     let step = timing.duration / STAGGER_STEPS_PER_LEASE;
     lease
@@ -264,7 +274,7 @@
 
 /// A number that differs between the processes of this limiter: of the time in microseconds and the process's identifier.
 fn new_incarnation() -> u32 {
-    (unix() >> 10) as u32 ^ std::process::id().rotate_left(16)
+    (unix_time::now() >> 10) as u32 ^ std::process::id().rotate_left(16)
 }
 
 /// An operation in progress; dropping it ends the operation.
--- a/src/net/limiter.rs
+++ b/src/net/limiter.rs
@@ -1,29 +1,26 @@
 //! One limiter process: owns its parts, starts them, serves clients, and ends in order.
 
 use super::admin::{self, AdminContext};
-use super::config::{Addresses, Config, Limits};
+use super::config::{Config, Limits};
 use super::counter::{self, CounterClient};
-use super::discovery::{self, Backoff, DiscoveryClient, DiscoveryParts, EndpointList};
+use super::discovery::{self, Backoff, DiscoveryClient, EndpointList};
 use super::engine::EngineDriver;
-use super::hot_restart::{HotRestart, HotRestartParts};
+use super::hot_restart::{HotRestart, LocalProcess};
 use super::leases;
-use super::metrics::{self, Metrics, SharedMetrics};
-use super::reload::{ConfigReloader, ReloadParts};
+use super::metrics_log::MetricsLog;
+use super::reload::{ActiveConfig, ConfigReloader};
 use super::resp::downstream::{self, Downstream};
 use super::resp::upstream::UpstreamPool;
 use super::shutdown::{self, Shutdown};
-use super::stages::{complete, Pipeline, PipelineParts};
+use super::stages::{complete, Pipeline};
 use super::start_error::StartError;
 use super::task::spawn;
-use crate::api::Settings;
 use quartzcleat_config::lease::Lease;
 use serde_json::Value;
-use std::cell::RefCell;
+use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
-use std::time::Duration;
 use tokio::net::{TcpListener, TcpSocket};
-use tokio::sync::watch;
 use tokio::task::LocalSet;
 use tokio::time::{sleep, timeout_at, Instant};
 
@@ -49,20 +46,14 @@
     shutdown: Rc<Shutdown>,
     /// The other process of this limiter, while a new version takes over.
     hot_restart: Rc<HotRestart>,
-    /// What the admin interface reads and changes.
+    /// The parts that the admin interface reads and changes.
     admin: Rc<AdminContext>,
     /// The configuration in force.
     reloader: Rc<ConfigReloader>,
     /// The stages that a request passes.
     pipeline: Rc<Pipeline>,
-    /// What is counted for operators, and how often it is logged; `None` where the configuration does not ask for it.
-    metrics: Option<MetricsLog>,
-}
-
-/// Metrics and the interval at which they are logged.
-struct MetricsLog {
-    every: Duration,
-    metrics: SharedMetrics,
+    /// The metrics for operators; `None` where the configuration does not ask for them.
+    metrics_log: Option<MetricsLog>,
 }
 
 /// How a limiter starts, beyond the parts that it consists of.
@@ -75,43 +66,51 @@
 }
 
 impl Limiter {
-    /// A limiter that has received nothing and is connected to nothing yet.
+    /// A limiter that has received nothing and is connected to nothing yet. Each part is given the parts that it works
+    /// with.
     pub fn new(config: Config) -> Self {
-        let metrics = config.metrics_interval.map(|every| MetricsLog {
-            every,
-            metrics: Rc::new(RefCell::new(Metrics::new(config.name.clone()))),
-        });
-        let addresses = watch::Sender::new(config.addresses);
         let has_admin = config.admin.is_some();
-        let (name, listen) = (config.name, config.listen);
-        let base = BaseParts::new(
-            config.limits,
-            &config.settings,
-            config.seed,
-            metrics.as_ref().map(|log| log.metrics.clone()),
-        );
-        let counter = base.new_counter(&addresses);
-        let pipeline = base.new_pipeline(&counter);
+        let new_metrics_log = |interval| MetricsLog::new(interval, config.name.clone());
+        let metrics_log = config.metrics_interval.map(new_metrics_log);
+        let metrics = metrics_log.as_ref().map(MetricsLog::metrics);
+        let active_config = ActiveConfig::new(config.file, &config.settings, config.addresses);
         let endpoints = EndpointList::new(config.zone_names, config.machine_kind_names);
-        let discovery = base.new_discovery(&addresses, endpoints, has_admin);
-        let hot_restart_parts = base.hot_restart_parts(&discovery);
-        let hot_restart = HotRestart::new(hot_restart_parts, &name, listen, has_admin);
+        let process = LocalProcess::new(config.name, config.listen, has_admin);
+
+        let limits = Rc::new(config.limits);
+        let upstream = UpstreamPool::new(config.settings.reports, metrics.clone());
+        let upstream = Rc::new(upstream);
+        let engine = EngineDriver::new(config.settings, config.seed, &limits, metrics.clone());
+        let engine = Rc::new(engine);
+        let shutdown = Rc::new(Shutdown::new(&limits));
+        let addresses = active_config.subscribe_addresses();
+        let counter = Rc::new(CounterClient::new(&limits, &engine, addresses.clone()));
+        let pipeline = Pipeline::new(&limits, &engine, &upstream, &counter, &shutdown);
+        let discovery = DiscoveryClient::new(&limits, &engine, &upstream, addresses, endpoints)
+            .with_metrics(metrics)
+            .with_name_records(has_admin);
+        let discovery = Rc::new(discovery);
+        let hot_restart = HotRestart::new(&limits, &engine, &discovery, &shutdown, process);
         let hot_restart = Rc::new(hot_restart);
-        let admin = base.new_admin(&discovery, &hot_restart);
-        let reload_parts = base.reload_parts(&discovery, addresses);
-        let reloader = ConfigReloader::new(reload_parts, config.file, &config.settings);
+        let admin = Rc::new(AdminContext::new(
+            &limits,
+            &discovery,
+            &shutdown,
+            &hot_restart,
+        ));
+        let reloader = ConfigReloader::new(&limits, &engine, &upstream, &discovery, active_config);
         Limiter {
-            limits: base.limits,
-            engine: base.engine,
-            upstream: base.upstream,
+            limits,
+            engine,
+            upstream,
             counter,
             discovery,
-            shutdown: base.shutdown,
+            shutdown,
             hot_restart,
             admin,
             reloader: Rc::new(reloader),
             pipeline,
-            metrics,
+            metrics_log,
         }
     }
 
@@ -122,7 +121,7 @@
         if let Some(lease) = options.lease {
             self.start_leases(lease).await?;
         }
-        // What another process knows goes before the list of the configuration.
+        // The list that another process hands over takes precedence over that of the configuration.
         self.hot_restart.look();
         self.discovery.restore(&options.known_hosts)?;
         self.start_clients(options.backoff);
@@ -152,7 +151,8 @@
             hot_restart.look();
             hot_restart.successor_serves()
         })?;
-        self.reloader.watch()
+        self.reloader.watch()?;
+        Ok(())
     }
 
     async fn start_leases(&self, lease: Lease) -> Result<(), StartError> {
@@ -167,9 +167,8 @@
     /// Starts the clients of the counter and of discovery, and the log of the metrics.
     fn start_clients(&self, backoff: Backoff) {
         counter::start(&self.counter);
-        if let Some(MetricsLog { every, metrics }) = &self.metrics {
-            let (engine, upstream) = (self.engine.clone(), self.upstream.clone());
-            metrics::start(metrics.clone(), *every, engine, upstream);
+        if let Some(metrics_log) = &self.metrics_log {
+            metrics_log.start(self.engine.clone(), self.upstream.clone());
         }
         spawn(discovery::follow(self.discovery.clone(), backoff));
         if !self.limits.discovery.is_polled {
@@ -177,8 +176,8 @@
         }
     }
 
-    /// Waits, for a bounded time, for the endpoint list and for what the other process of this limiter hands over. A
-    /// process that took clients without them would reject requests that the other one still serves.
+    /// Waits, for a bounded time, for the endpoint list and for the handoff of the other process of this limiter. A process
+    /// that took clients without them would reject requests that the other one still serves.
     async fn catch_up(&self) {
         self.hot_restart.publish();
         let until = Instant::now() + self.limits.hot_restart.discovery_timeout;
@@ -196,15 +195,15 @@
         spawn(admin::accept(self.admin.clone(), listener));
     }
 
-    /// Waits until every connection is closed and every request answered. Shortly before the process has to be gone,
-    /// whatever is still open is failed, so that no request stays unanswered.
+    /// Waits until every connection is closed and every request answered. Requests that are still open shortly before the
+    /// process has to be gone are failed, so that none stays unanswered.
     async fn finish(&self) {
         let last = self
             .shutdown
             .last_answers(&self.limits)
             .unwrap_or_else(Instant::now);
         let mut connections = self.shutdown.subscribe_connections();
-        // Past the time, what is still open is failed below.
+        // Requests that are still open past the time are failed below.
         let _ = timeout_at(last, connections.wait_for(|count| *count == 0)).await;
         // The attempts of a client that has gone end by themselves; no answer is due for them.
         while self.engine.requests().borrow().count() > 0 && Instant::now() < last {
@@ -215,104 +214,11 @@
             complete::give_up(&self.pipeline, id);
         }
         let end = last + self.limits.shutdown.final_answer_margin.get();
-        // Past the time the process ends with whatever connections are left.
+        // Past the time the process ends, and the connections that are left end with it.
         let _ = timeout_at(end, connections.wait_for(|count| *count == 0)).await;
     }
 }
 
-/// The parts that most others are given.
-struct BaseParts {
-    limits: Rc<Limits>,
-    engine: Rc<EngineDriver>,
-    upstream: Rc<UpstreamPool>,
-    shutdown: Rc<Shutdown>,
-    metrics: Option<SharedMetrics>,
-}
-
-impl BaseParts {
-    fn new(limits: Limits, settings: &Settings, seed: u64, metrics: Option<SharedMetrics>) -> Self {
-        let engine = EngineDriver::new(settings.clone(), seed, &limits, metrics.clone());
-        BaseParts {
-            engine: Rc::new(engine),
-            upstream: Rc::new(UpstreamPool::new(settings.reports)),
-            shutdown: Rc::new(Shutdown::new(&limits)),
-            limits: Rc::new(limits),
-            metrics,
-        }
-    }
-
-    fn new_counter(&self, addresses: &watch::Sender<Addresses>) -> Rc<CounterClient> {
-        Rc::new(CounterClient::new(
-            self.limits.clone(),
-            self.engine.clone(),
-            addresses.subscribe(),
-        ))
-    }
-
-    fn new_pipeline(&self, counter: &Rc<CounterClient>) -> Rc<Pipeline> {
-        Pipeline::new(PipelineParts {
-            limits: self.limits.clone(),
-            engine: self.engine.clone(),
-            upstream: self.upstream.clone(),
-            counter: counter.clone(),
-            shutdown: self.shutdown.clone(),
-            metrics: self.metrics.clone(),
-        })
-    }
-
-    fn new_discovery(
-        &self,
-        addresses: &watch::Sender<Addresses>,
-        endpoints: EndpointList,
-        records_names: bool,
-    ) -> Rc<DiscoveryClient> {
-        let parts = DiscoveryParts {
-            limits: self.limits.clone(),
-            engine: self.engine.clone(),
-            upstream: self.upstream.clone(),
-            addresses: addresses.subscribe(),
-            metrics: self.metrics.clone(),
-        };
-        Rc::new(DiscoveryClient::new(parts, endpoints, records_names))
-    }
-
-    fn hot_restart_parts(&self, discovery: &Rc<DiscoveryClient>) -> HotRestartParts {
-        HotRestartParts {
-            limits: self.limits.clone(),
-            engine: self.engine.clone(),
-            discovery: discovery.clone(),
-            shutdown: self.shutdown.clone(),
-        }
-    }
-
-    fn new_admin(
-        &self,
-        discovery: &Rc<DiscoveryClient>,
-        hot_restart: &Rc<HotRestart>,
-    ) -> Rc<AdminContext> {
-        Rc::new(AdminContext {
-            limits: self.limits.clone(),
-            discovery: discovery.clone(),
-            shutdown: self.shutdown.clone(),
-            hot_restart: hot_restart.clone(),
-        })
-    }
-
-    fn reload_parts(
-        &self,
-        discovery: &Rc<DiscoveryClient>,
-        addresses: watch::Sender<Addresses>,
-    ) -> ReloadParts {
-        ReloadParts {
-            limits: self.limits.clone(),
-            engine: self.engine.clone(),
-            upstream: self.upstream.clone(),
-            discovery: discovery.clone(),
-            addresses,
-        }
-    }
-}
-
 /// Serves until the process is asked to end.
 ///
 /// # Errors
@@ -338,7 +244,7 @@
 }
 
 /// Listens for clients, beside another process of this limiter if there is one.
-fn open(listen: std::net::SocketAddr) -> std::io::Result<TcpListener> {
+fn open(listen: SocketAddr) -> io::Result<TcpListener> {
     let socket = if listen.is_ipv4() {
         TcpSocket::new_v4()?
     } else {
--- a/src/net/metrics.rs
+++ b/src/net/metrics.rs
@@ -1,19 +1,14 @@
-//! What this limiter did since its last metrics line, and what its engine believes at this moment.
+//! Counts of what this limiter did since its last metrics line, and the line itself.
 //!
-//! The line is one structured log event at an interval, so that the lines of many limiters can be added up by second. Off
-//! unless our own file asks for it; nothing that decides reads it.
+//! The line is one structured log event, so that the lines of many limiters can be added up by second. It is off unless
+//! our own file asks for it, and no decision depends on it. [`metrics_log`](super::metrics_log) logs it at an interval.
 
-use super::engine::EngineDriver;
-use super::resp::upstream::UpstreamPool;
-use super::task::spawn;
 use crate::api::{Action, Event, HostId, Nanos, Outcome};
 use quartzcleat_decision::EngineStatus;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write as _;
 use std::rc::Rc;
-use std::time::Duration;
-use tokio::time::interval;
 
 #[cfg(test)]
 mod tests;
@@ -26,7 +21,7 @@
 /// The metrics of one limiter, which several of its parts add to.
 pub type SharedMetrics = Rc<RefCell<Metrics>>;
 
-/// What was counted of one host.
+/// The counts of one host.
 #[derive(Clone, Copy, Debug, Default)]
 struct HostCounts {
     attempts: u32,
@@ -37,7 +32,7 @@
     connect_failures: u32,
 }
 
-/// Rejections, by what the engine was told when it rejected.
+/// Rejections, by the event on which the engine rejected.
 #[derive(Clone, Copy, Debug, Default)]
 struct Rejections {
     /// The request itself.
@@ -50,7 +45,7 @@
     after_attempt: u32,
 }
 
-/// What was counted since the last line.
+/// The counts since the last line.
 #[derive(Clone, Debug, Default)]
 pub struct Metrics {
     limiter: String,
@@ -70,7 +65,7 @@
     hosts: BTreeMap<HostId, HostCounts>,
 }
 
-/// What an action follows from.
+/// The kind of event that an action follows from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
     /// A request.
@@ -117,7 +112,7 @@
         }
     }
 
-    /// Counts an event for the engine; returns what its actions follow from.
+    /// Counts an event for the engine; returns the cause of its actions.
     pub fn record_event(&mut self, event: &Event) -> Cause {
         match event {
             Event::Request { .. } => self.requests += 1,
@@ -172,14 +167,14 @@
         }
     }
 
-    /// Counts a connection to a host that came up or did not.
-    pub fn record_connect(&mut self, host: HostId, has_connected: bool) {
-        let host = self.hosts.entry(host).or_default();
-        if has_connected {
-            host.connected += 1;
-        } else {
-            host.connect_failures += 1;
-        }
+    /// Counts a connection to a host that came up.
+    pub fn record_connect(&mut self, host: HostId) {
+        self.hosts.entry(host).or_default().connected += 1;
+    }
+
+    /// Counts a connection to a host that did not come up.
+    pub fn record_connect_failure(&mut self, host: HostId) {
+        self.hosts.entry(host).or_default().connect_failures += 1;
     }
 
     /// Counts a call to discovery that failed.
@@ -188,7 +183,12 @@
     }
 
     /// Logs the metrics and begins anew. `connections` are those that are up, by host.
-    fn log(&mut self, now: Nanos, status: &EngineStatus, connections: &BTreeMap<HostId, usize>) {
+    pub fn log(
+        &mut self,
+        now: Nanos,
+        status: &EngineStatus,
+        connections: &BTreeMap<HostId, usize>,
+    ) {
         let fresh = Metrics::new(self.limiter.clone());
         let counted = std::mem::replace(self, fresh);
         let rejections = counted.rejections;
@@ -257,21 +257,3 @@
         text
     }
 }
-
-/// Logs the metrics at an interval from now on.
-pub fn start(
-    metrics: SharedMetrics,
-    every: Duration,
-    engine: Rc<EngineDriver>,
-    upstream: Rc<UpstreamPool>,
-) {
-    spawn(async move {
-        let mut ticks = interval(every);
-        loop {
-            ticks.tick().await;
-            let (now, status) = (engine.now(), engine.status());
-            let connections = upstream.connections_by_host();
-            metrics.borrow_mut().log(now, &status, &connections);
-        }
-    });
-}
--- a/src/net/metrics/tests.rs
+++ b/src/net/metrics/tests.rs
@@ -1,9 +1,9 @@
-//! What is counted.
+//! Counts by cause and by host.
 
 use super::*;
 use crate::api::{RequestId, Timer};
 
-/// Actions are counted by what they follow from, ends of attempts by host and outcome.
+/// Actions are counted by the event that they follow from, ends of attempts by host and outcome.
 #[test]
 fn events_and_actions_are_counted_by_cause_and_host() {
     let mut metrics = Metrics::new("one".into());
@@ -33,7 +33,7 @@
     });
     metrics.record_actions(cause, &[Action::Reject { id, retry_after: 0 }]);
     metrics.record_event(&done(Outcome::Good));
-    metrics.record_connect(host, false);
+    metrics.record_connect_failure(host);
     let counts = metrics.hosts[&host];
     assert_eq!(
         (
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -13,14 +13,17 @@
 pub mod leases;
 pub mod limiter;
 pub mod metrics;
+pub mod metrics_log;
 pub mod peers;
 pub mod reload;
 pub mod resp;
 pub mod shutdown;
+pub mod signals;
 pub mod stages;
 mod start_error;
 pub mod streaming_body;
 pub mod task;
+pub mod unix_time;
 pub mod usage_export;
 
 #[cfg(test)]
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -2,11 +2,11 @@
 //!
 //! It knows no subsystem beyond the kind of its datagrams. Without a section `lease` no socket is opened.
 
+use super::unix_time;
 use quartzcleat_lease::{open, seal, Envelope, EnvelopeError, SharedKey};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
-use std::time::SystemTime;
 use tokio::net::UdpSocket;
 
 #[cfg(test)]
@@ -18,6 +18,9 @@
 /// How many sequence numbers of each sender are remembered to recognize repeated datagrams.
 const REMEMBERED_SEQUENCES: usize = 64;
 
+/// Sequence numbers start at the Unix time in microseconds.
+const NANOS_PER_MICROSECOND: u64 = 1_000;
+
 const LEASE_KIND: u8 = 1;
 const USAGE_EXPORT_KIND: u8 = 2;
 
@@ -129,9 +132,7 @@
     ) -> std::io::Result<Self> {
         let socket = UdpSocket::bind(addresses[node_id as usize]).await?;
         // Greater than any of the previous process, provided that the system's clock was not set back.
-        let first_sequence = SystemTime::UNIX_EPOCH
-            .elapsed()
-            .map_or(0, |age| age.as_micros() as u64);
+        let first_sequence = unix_time::now() / NANOS_PER_MICROSECOND;
         Ok(Peers {
             socket,
             key,
--- a/src/net/reload.rs
+++ b/src/net/reload.rs
@@ -1,23 +1,23 @@
 //! SIGHUP: the configuration is read again.
 //!
-//! A sound file is in force from then on, its addresses and its settings; of a faulty one nothing is, and the log names
-//! all its faults. What follows from descriptors and memory, and whether discovery is polled, stays until the next start.
+//! The addresses and settings of a sound file are in force from then on. A faulty file changes nothing, and the log names
+//! all its faults. Limits that follow from the process's descriptors and memory stay until the next start, and so does the
+//! choice between polled and pushed discovery.
 
 use super::config::{self, Addresses, Config, ConfigError, Limits};
 use super::discovery::DiscoveryClient;
 use super::engine::EngineDriver;
 use super::resp::downstream::RequestCatalog;
 use super::resp::upstream::UpstreamPool;
-use super::shutdown::unix;
-use super::start_error::StartError;
+use super::signals::{self, SignalError};
 use super::task::spawn;
+use super::unix_time;
 use crate::api::{Event, Settings};
 use quartzcleat_admin::ClassIndices;
 use serde_json::Value;
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::signal::unix::{signal, SignalKind};
 use tokio::sync::watch;
 use tokio::time::sleep;
 
@@ -26,62 +26,99 @@
 #[cfg(test)]
 mod tests;
 
-/// The parts of a limiter that follow a new configuration.
-pub struct ReloadParts {
-    /// Times and counts that follow from the settings.
-    pub limits: Rc<Limits>,
-    /// Takes the settings.
-    pub engine: Rc<EngineDriver>,
-    /// Connections to hosts.
-    pub upstream: Rc<UpstreamPool>,
-    /// The endpoint list, which numbers the zones.
-    pub discovery: Rc<DiscoveryClient>,
-    /// Where the services listen, for those who follow their moves.
-    pub addresses: watch::Sender<Addresses>,
-}
-
-/// Owns the configuration in force and what follows from it directly.
-pub struct ConfigReloader {
-    parts: ReloadParts,
-    /// The configuration in force, as it was read.
+/// The configuration in force.
+pub struct ActiveConfig {
+    /// The addresses of the services, for those who follow their changes.
+    addresses: watch::Sender<Addresses>,
+    /// The file as it was read.
     file: RefCell<Value>,
     /// The indices of classes and plans.
     indices: RefCell<ClassIndices>,
-    /// What a request may ask for.
+    /// The classes and plans that a request may name.
     catalog: Rc<RefCell<RequestCatalog>>,
 }
 
-impl ConfigReloader {
+impl ActiveConfig {
     /// The configuration that the process starts with: `file` as it was read, and the settings in it.
-    pub fn new(parts: ReloadParts, file: Value, settings: &Settings) -> Self {
+    pub fn new(file: Value, settings: &Settings, addresses: Addresses) -> Self {
         let indices = ClassIndices::new(settings);
         let catalog = RequestCatalog::new(settings, &indices.accepted(0));
-        ConfigReloader {
-            parts,
+        ActiveConfig {
+            addresses: watch::Sender::new(addresses),
             file: RefCell::new(file),
             indices: RefCell::new(indices),
             catalog: Rc::new(RefCell::new(catalog)),
         }
     }
 
-    /// What a request may ask for, as the configuration in force has it.
+    /// A receiver that follows the addresses of the services.
+    pub fn subscribe_addresses(&self) -> watch::Receiver<Addresses> {
+        self.addresses.subscribe()
+    }
+
+    fn set_addresses(&self, addresses: Addresses) {
+        self.addresses
+            .send_if_modified(|held| std::mem::replace(held, addresses) != addresses);
+    }
+
+    /// Gives the classes and plans of new settings their indices, and accepts requests that name them.
+    fn set_classes(&self, settings: &Settings) -> Settings {
+        let indexed = self.indices.borrow_mut().apply(settings, unix_time::now());
+        let accepted = self.indices.borrow().accepted(unix_time::now());
+        self.catalog
+            .replace(RequestCatalog::new(&indexed, &accepted));
+        indexed
+    }
+
+    /// Stops accepting requests of classes and plans that were removed long enough ago.
+    fn retire_classes(&self) {
+        let accepted = self.indices.borrow().accepted(unix_time::now());
+        self.catalog.borrow_mut().retain(&accepted);
+    }
+}
+
+/// Reloads the configuration and hands it to the parts that follow it.
+pub struct ConfigReloader {
+    limits: Rc<Limits>,
+    engine: Rc<EngineDriver>,
+    upstream: Rc<UpstreamPool>,
+    discovery: Rc<DiscoveryClient>,
+    active_config: ActiveConfig,
+}
+
+impl ConfigReloader {
+    /// A reloader of the configuration that the process starts with.
+    pub fn new(
+        limits: &Rc<Limits>,
+        engine: &Rc<EngineDriver>,
+        upstream: &Rc<UpstreamPool>,
+        discovery: &Rc<DiscoveryClient>,
+        active_config: ActiveConfig,
+    ) -> Self {
+        ConfigReloader {
+            limits: limits.clone(),
+            engine: engine.clone(),
+            upstream: upstream.clone(),
+            discovery: discovery.clone(),
+            active_config,
+        }
+    }
+
+    /// The classes and plans that a request may name, by the configuration in force.
     pub fn catalog(&self) -> Rc<RefCell<RequestCatalog>> {
-        self.catalog.clone()
+        self.active_config.catalog.clone()
     }
 
     /// Reads the configuration again at each SIGHUP from now on.
     ///
     /// # Errors
     /// The signal handler cannot be installed.
-    pub fn watch(self: &Rc<Self>) -> Result<(), StartError> {
-        let mut hangup = signal(SignalKind::hangup()).map_err(|source| StartError::Signal {
-            signal: "SIGHUP",
-            source,
-        })?;
+    pub fn watch(self: &Rc<Self>) -> Result<(), SignalError> {
+        let mut hangup = signals::on_hangup()?;
         let reloader = self.clone();
         spawn(async move {
             while hangup.recv().await.is_some() {
-                let read = config::reload_from_environment(&reloader.file.borrow());
+                let read = config::reload_from_environment(&reloader.active_config.file.borrow());
                 reloader.apply(read);
             }
         });
@@ -94,43 +131,36 @@
             Err(error) => return tracing::warn!(%error, "configuration rejected"),
             Ok(config) => config,
         };
-        self.file.replace(config.file);
-        let addresses = config.addresses;
-        self.parts
-            .addresses
-            .send_if_modified(|held| std::mem::replace(held, addresses) != addresses);
-        self.parts.limits.update_from(&config.limits);
-        self.parts
-            .upstream
-            .set_report_source(config.settings.reports);
-        let mut settings = config.settings;
-        // Zones keep their indices, as classes and plans do.
+        self.active_config.file.replace(config.file);
+        self.active_config.set_addresses(config.addresses);
+        self.limits.update_from(&config.limits);
+        self.upstream.set_report_source(config.settings.reports);
+        self.engine.apply_limits(&config.limits);
+        self.apply_settings(config.settings, &config.zone_names);
+        spawn(self.clone().retire_classes());
+    }
+
+    /// Applies settings in which zones, classes and plans keep the indices that they had before.
+    fn apply_settings(&self, mut settings: Settings, zone_names: &[String]) {
         settings.zone = self
-            .parts
             .discovery
             .endpoints()
             .borrow_mut()
-            .zone(&config.zone_names, settings.zone);
-        let indexed = self.indices.borrow_mut().apply(&settings, unix());
-        self.parts.engine.apply_limits(&config.limits);
-        let accepted = self.indices.borrow().accepted(unix());
-        self.catalog
-            .replace(RequestCatalog::new(&indexed, &accepted));
+            .zone(zone_names, settings.zone);
+        let indexed = self.active_config.set_classes(&settings);
         tracing::info!(
             classes = settings.classes.len(),
             plans = settings.plans.len(),
             "configuration applied"
         );
-        self.parts.engine.handle(Event::SettingsChanged {
+        self.engine.handle(Event::SettingsChanged {
             settings: Box::new(indexed),
         });
-        spawn(self.clone().retire_classes());
     }
 
     /// Stops accepting requests of removed classes and plans, some time after their removal.
     async fn retire_classes(self: Rc<Self>) {
         sleep(Duration::from_nanos(ClassIndices::accepted_after_removal())).await;
-        let accepted = self.indices.borrow().accepted(unix());
-        self.catalog.borrow_mut().retain(&accepted);
+        self.active_config.retire_classes();
     }
 }
--- a/src/net/reload/crossings.rs
+++ b/src/net/reload/crossings.rs
@@ -15,7 +15,11 @@
 
 /// Takes a file in, which is sound.
 fn take(limiter: &Rc<Limiter>, text: &str) {
-    let read = config::parse_replacement(&limiter.reloader().file.borrow(), text, |_| None);
+    let read = config::parse_replacement(
+        &limiter.reloader().active_config.file.borrow(),
+        text,
+        |_| None,
+    );
     assert!(read.is_ok(), "{:?}", read.err());
     limiter.reloader().apply(read);
 }
@@ -70,7 +74,7 @@
 fn a_file_in_another_order_moves_nothing_under_another_s_index() {
     with_limiter(&[], |limiter| async move {
         let named = |name: &str| {
-            let catalog = limiter.reloader().catalog.borrow();
+            let catalog = limiter.reloader().active_config.catalog.borrow();
             catalog.class(name).map(|entry| entry.index)
         };
         assert_eq!((named("bed-check"), named("bed-hold")), (Some(0), Some(1)));
--- a/src/net/reload/tests.rs
+++ b/src/net/reload/tests.rs
@@ -8,14 +8,18 @@
 impl ConfigReloader {
     /// The addresses of the services, to look at and to change.
     pub(crate) fn addresses(&self) -> &watch::Sender<Addresses> {
-        &self.parts.addresses
+        &self.active_config.addresses
     }
 }
 
 const TOY: &str = include_str!("../../../examples/toy.json");
 
 fn again(limiter: &Limiter, text: &str) -> Result<Config, ConfigError> {
-    config::parse_replacement(&limiter.reloader().file.borrow(), text, |_| None)
+    config::parse_replacement(
+        &limiter.reloader().active_config.file.borrow(),
+        text,
+        |_| None,
+    )
 }
 
 /// A sound file is taken whole; requests of a class that is gone are heard for a moment, then no more.
@@ -41,16 +45,22 @@
             (vec!["bed-check", "bed-hold", "hut-hold"], 2)
         );
         let index = |name: &str| {
-            let catalog = limiter.reloader().catalog.borrow();
+            let catalog = limiter.reloader().active_config.catalog.borrow();
             catalog.class(name).map(|entry| entry.index)
         };
         assert_eq!((index("bed-hold"), index("hut-hold")), (Some(1), Some(2)));
         let later = limiter
             .reloader()
+            .active_config
             .indices
             .borrow()
-            .accepted(unix() + ClassIndices::accepted_after_removal());
-        limiter.reloader().catalog.borrow_mut().retain(&later);
+            .accepted(unix_time::now() + ClassIndices::accepted_after_removal());
+        limiter
+            .reloader()
+            .active_config
+            .catalog
+            .borrow_mut()
+            .retain(&later);
         assert_eq!((index("bed-hold"), index("hut-hold")), (None, Some(2)));
     });
 }
@@ -70,14 +80,14 @@
         let gone = TOY.lines().nth(line).unwrap_or_default();
         let may = ["\"seed\"", "\"known\"", "\"guide\""].iter().any(|key| gone.contains(key));
         with_limiter(&[], |limiter| async move {
-            let before = (*limiter.reloader().addresses().borrow(), limiter.reloader().file.borrow().clone());
+            let before = (*limiter.reloader().addresses().borrow(), limiter.reloader().active_config.file.borrow().clone());
             let read = again(&limiter, &broken);
             assert!(read.is_err() || (what == 1 && may), "{broken}");
             if read.is_ok() {
                 return;
             }
             limiter.reloader().apply(read);
-            assert_eq!((*limiter.reloader().addresses().borrow(), limiter.reloader().file.borrow().clone()), before);
+            assert_eq!((*limiter.reloader().addresses().borrow(), limiter.reloader().active_config.file.borrow().clone()), before);
             assert!(limiter.engine().take_event().is_none());
         });
     }
--- a/src/net/resp/upstream/call_codec.rs
+++ b/src/net/resp/upstream/call_codec.rs
@@ -1,9 +1,8 @@
 //! The commands that hosts are sent, and what their replies mean.
 
 use crate::api::{HostId, Load, Outcome, ReportSource};
-use crate::net::engine::{HostCall, HostCommand, Payload};
+use crate::net::engine::{CallResult, HostCall, HostCommand, Payload, UsageFigures};
 use crate::net::resp::codec::{self, Reply};
-use crate::net::stages::complete::{CallResult, UsageFigures};
 use std::ops::Range;
 use tokio::time::Instant;
 
--- a/src/net/resp/upstream/pool.rs
+++ b/src/net/resp/upstream/pool.rs
@@ -3,6 +3,7 @@
 use crate::api::{HostEntry, HostId, HostState, ReportSource};
 use crate::net::config::Limits;
 use crate::net::engine::HostCall;
+use crate::net::metrics::SharedMetrics;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -93,17 +94,19 @@
     connections_by_host: RefCell<BTreeMap<HostId, Rc<Cell<usize>>>>,
     next_serial: Cell<u64>,
     report_source: Cell<ReportSource>,
+    metrics: Option<SharedMetrics>,
 }
 
 impl UpstreamPool {
-    /// A pool without hosts. `report_source` is where hosts report their load.
-    pub fn new(report_source: ReportSource) -> Self {
+    /// A pool without hosts. `report_source` is where hosts report their load; `metrics` count the connections.
+    pub fn new(report_source: ReportSource, metrics: Option<SharedMetrics>) -> Self {
         UpstreamPool {
             hosts: RefCell::default(),
             connections: Rc::default(),
             connections_by_host: RefCell::default(),
             next_serial: Cell::default(),
             report_source: Cell::new(report_source),
+            metrics,
         }
     }
 
@@ -234,6 +237,20 @@
         Some(ConnectionPermit::new([self.connections.clone(), by_host]))
     }
 
+    /// Counts a connection that came up.
+    pub fn record_connect(&self, id: HostId) {
+        if let Some(metrics) = &self.metrics {
+            metrics.borrow_mut().record_connect(id);
+        }
+    }
+
+    /// Counts a connection that did not come up.
+    pub fn record_connect_failure(&self, id: HostId) {
+        if let Some(metrics) = &self.metrics {
+            metrics.borrow_mut().record_connect_failure(id);
+        }
+    }
+
     fn close_longest_idle(&self) -> Option<()> {
         let mut hosts = self.hosts.borrow_mut();
         let longest_idle =
--- a/src/net/shutdown.rs
+++ b/src/net/shutdown.rs
@@ -5,14 +5,14 @@
 //! and the process ends once all accepted requests are answered.
 
 use super::config::Limits;
-use super::start_error::StartError;
+use super::signals::{self, SignalError};
 use super::task::spawn;
+use super::unix_time;
 use crate::api::Nanos;
 use quartzcleat_admin::{DrainController, DrainOrder, DrainTimes};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
-use std::time::{Duration, SystemTime};
-use tokio::signal::unix::{signal, SignalKind};
+use std::time::Duration;
 use tokio::sync::{watch, Notify};
 use tokio::time::{timeout, Instant};
 
@@ -37,13 +37,6 @@
     connections: watch::Sender<usize>,
 }
 
-/// Unix time by the system's clock, in nanoseconds, which two processes on one machine share.
-pub fn unix() -> Nanos {
-    SystemTime::UNIX_EPOCH
-        .elapsed()
-        .map_or(0, |age| age.as_nanos() as Nanos)
-}
-
 impl Shutdown {
     /// A process that serves all clients.
     pub fn new(limits: &Limits) -> Self {
@@ -98,12 +91,12 @@
 
     /// Drains the clients, by an operator.
     pub fn drain(&self) {
-        self.update(|controller| controller.drain(unix()));
+        self.update(|controller| controller.drain(unix_time::now()));
     }
 
     /// Stops draining, by an operator.
     pub fn undrain(&self) {
-        self.update(|controller| controller.undrain(unix()));
+        self.update(|controller| controller.undrain(unix_time::now()));
     }
 
     /// Takes in another process's order on draining.
@@ -121,7 +114,7 @@
 
     /// Announces the phase of this moment; returns how long it is until the next one begins.
     fn announce_phase(&self) -> Option<Duration> {
-        let now = unix();
+        let now = unix_time::now();
         let (status, is_shutting_down) = {
             let controller = self.controller.borrow();
             (controller.status(now), controller.is_shutting_down())
@@ -200,11 +193,8 @@
 pub fn watch(
     shutdown: &Rc<Shutdown>,
     other_serves: impl FnOnce() -> bool + 'static,
-) -> Result<(), StartError> {
-    let mut terminate = signal(SignalKind::terminate()).map_err(|source| StartError::Signal {
-        signal: "SIGTERM",
-        source,
-    })?;
+) -> Result<(), SignalError> {
+    let mut terminate = signals::on_terminate()?;
     spawn(shutdown.clone().follow_phases());
     let shutdown = shutdown.clone();
     spawn(async move {
@@ -212,7 +202,7 @@
         shutdown.asked_at.set(Some(Instant::now()));
         let other_serves = other_serves();
         tracing::info!(other_serves, "shutdown started");
-        shutdown.update(|controller| controller.shut_down(unix(), other_serves));
+        shutdown.update(|controller| controller.shut_down(unix_time::now(), other_serves));
     });
     Ok(())
 }
--- a/src/net/stages/accept.rs
+++ b/src/net/stages/accept.rs
@@ -1,6 +1,7 @@
 //! First stage: a request from a frontend is opened, or answered at once where there is no capacity for it.
 
-use super::{admit, Pipeline};
+use super::admit;
+use super::pipeline::Pipeline;
 use crate::net::engine::{Answer, Frontend, ReplyTo, Request};
 use crate::net::shutdown::Phase;
 use std::rc::Rc;
--- a/src/net/stages/admit.rs
+++ b/src/net/stages/admit.rs
@@ -1,6 +1,7 @@
 //! Second stage: the decision engine is told of the request and decides whether it is admitted.
 
-use super::{complete, Pipeline};
+use super::complete;
+use super::pipeline::Pipeline;
 use crate::api::Event;
 use crate::net::engine::Request;
 use crate::net::task::spawn;
--- a/src/net/stages/attempt.rs
+++ b/src/net/stages/attempt.rs
@@ -1,10 +1,10 @@
 //! Fifth stage: a call is written to its host, and its answer awaited.
 
-use super::complete::{self, CallResult};
-use super::Pipeline;
+use super::complete;
+use super::pipeline::Pipeline;
 use crate::api::Outcome;
 use crate::net::config::Limits;
-use crate::net::engine::{HostCall, HostCommand};
+use crate::net::engine::{CallResult, HostCall, HostCommand};
 use crate::net::resp::{
     codec::{self, ParsedReply, ValueHead},
     upstream::{self, UpstreamConnection},
@@ -56,7 +56,7 @@
     call: &HostCall,
 ) -> CallEnd {
     let (Some(usage_recorder), HostCommand::Attempt { charge, .. }) =
-        (pipeline.usage_recorder.get(), &call.command)
+        (pipeline.usage_recorder(), &call.command)
     else {
         return run_unrecorded(pipeline, connection, call).await;
     };
--- a/src/net/stages/complete.rs
+++ b/src/net/stages/complete.rs
@@ -1,46 +1,14 @@
 //! Last stage: the end of a call is reported to the decision engine and, where it ends the request, to its client.
 
-use super::Pipeline;
-use crate::api::{Event, HostId, Load, Nanos, Outcome, RequestId};
-use crate::net::engine::{Answer, AttemptId, HostCall, HostCommand};
+use super::pipeline::Pipeline;
+use crate::api::{Event, HostId, Nanos, Outcome, RequestId};
+use crate::net::engine::{Answer, AttemptId, CallResult, HostCall, HostCommand};
 use crate::net::streaming_body::StreamingBody;
 use std::rc::Rc;
 
 #[cfg(test)]
 mod tests;
 
-/// How a call to a host ended.
-pub struct CallResult {
-    /// The outcome.
-    pub outcome: Outcome,
-    /// The value of a good attempt.
-    pub value: Vec<u8>,
-    /// The load report that came along.
-    pub load: Load,
-    /// What the answer says of the request's usage.
-    pub used: UsageFigures,
-}
-
-/// The figures on usage that came with an answer; zero: not reported.
-#[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct UsageFigures {
-    /// The customer's usage by the host's meter.
-    pub metered: u64,
-    /// The request's true units, where they were estimated.
-    pub units: f64,
-}
-
-impl From<Outcome> for CallResult {
-    fn from(outcome: Outcome) -> Self {
-        CallResult {
-            outcome,
-            value: Vec::new(),
-            load: Load::new(),
-            used: UsageFigures::default(),
-        }
-    }
-}
-
 /// Gives a request its final answer; false where it is no longer open.
 pub fn answer(pipeline: &Pipeline, id: RequestId, answer: Answer) -> bool {
     let reply_to = pipeline.engine.close_request(id);
--- a/src/net/stages/complete/tests.rs
+++ b/src/net/stages/complete/tests.rs
@@ -2,6 +2,7 @@
 
 use super::*;
 use crate::net::engine::tests::{attempt_order, reply_to, request, RecordingFrontend};
+use crate::net::engine::UsageFigures;
 use crate::net::tests::{next, with_limiter};
 use tokio::time::Instant;
 
--- a/src/net/stages/dispatch.rs
+++ b/src/net/stages/dispatch.rs
@@ -1,7 +1,8 @@
 //! Fourth stage: a call gets a connection, the host's idle one that was used last or a new one.
 
 use super::attempt::{self, CallEnd};
-use super::{complete, Pipeline};
+use super::complete;
+use super::pipeline::Pipeline;
 use crate::api::{HostId, Outcome};
 use crate::net::engine::{Cancellation, HostCall, HostCommand};
 use crate::net::resp::codec;
@@ -43,14 +44,15 @@
         return complete::complete(&pipeline, &call, Outcome::ConnectFailed.into());
     };
     let connected = connect(&pipeline, &call).await;
-    if let Some(metrics) = &pipeline.metrics {
-        metrics
-            .borrow_mut()
-            .record_connect(call.host, connected.is_ok());
-    }
     let mut connection = match connected {
-        Ok(connection) => connection,
-        Err(outcome) => return complete::complete(&pipeline, &call, outcome.into()),
+        Ok(connection) => {
+            pipeline.upstream.record_connect(call.host);
+            connection
+        }
+        Err(outcome) => {
+            pipeline.upstream.record_connect_failure(call.host);
+            return complete::complete(&pipeline, &call, outcome.into());
+        }
     };
     loop {
         let CallEnd { result, reusable } = attempt::run(&pipeline, &mut connection, &call).await;
--- a/src/net/stages/route.rs
+++ b/src/net/stages/route.rs
@@ -1,6 +1,7 @@
 //! Third stage: the decision engine's actions are carried out, in its order.
 
-use super::{complete, dispatch, Pipeline};
+use super::pipeline::Pipeline;
+use super::{complete, dispatch};
 use crate::api::{Action, Event, Nanos, Outcome, Timer};
 use crate::net::engine::{Answer, AttemptId, AttemptOrder};
 use crate::net::task::spawn;
--- a/src/net/start_error.rs
+++ b/src/net/start_error.rs
@@ -2,6 +2,7 @@
 
 use super::discovery::ListError;
 use super::leases::LeaseError;
+use super::signals::SignalError;
 use std::io;
 use std::net::SocketAddr;
 use thiserror::Error;
@@ -13,13 +14,8 @@
     #[error("cannot start: {0}")]
     Runtime(#[source] io::Error),
     /// A signal handler cannot be installed.
-    #[error("cannot wait for {signal}: {source}")]
-    Signal {
-        /// The signal's name.
-        signal: &'static str,
-        /// The cause.
-        source: io::Error,
-    },
+    #[error(transparent)]
+    Signal(#[from] SignalError),
     /// The leases or the usage export cannot start.
     #[error(transparent)]
     Lease(#[from] LeaseError),
--- a/src/net/usage_export/recorder.rs
+++ b/src/net/usage_export/recorder.rs
@@ -3,8 +3,8 @@
 use super::append_file::AppendFile;
 use super::{has_extension, SPOOL_EXTENSION};
 use crate::api::Outcome;
-use crate::net::shutdown::unix;
-use crate::net::stages::complete::CallResult;
+use crate::net::engine::CallResult;
+use crate::net::unix_time;
 use quartzcleat_config::lease::{CrashPoint, ScheduledCrash};
 use quartzcleat_usage_export::{AttemptOutcome, SinkRecord, Source, Spool};
 use std::cell::{Cell, RefCell};
@@ -117,7 +117,7 @@
     ) -> io::Result<UsageRecorder> {
         let source = Source {
             name: limiter.to_owned(),
-            epoch: unix(),
+            epoch: unix_time::now(),
         };
         let usage_recorder = UsageRecorder {
             limiter: limiter.to_owned(),
