--- a/src/net/counter/call_queue.rs
+++ b/src/net/counter/call_queue.rs
@@ -18,16 +18,52 @@
 /// The longest time that the counter keeps a name, in milliseconds.
 const MAX_KEEP_MS: u64 = 60_000;
 
+/// How far a call has come.
+enum CallState {
+    /// It waits for a connection.
+    Waiting {
+        /// The bytes to be written.
+        command: Vec<u8>,
+    },
+    /// It was given to a connection.
+    Sent,
+    /// It has ended, and calls before it may not have.
+    Ended(CallOutcome),
+}
+
 /// A call that has not been reported yet.
 struct CounterCall {
     name: String,
-    /// What is to be written; empty once the call is on its way, or where it never will be.
-    command: Vec<u8>,
     started_at: Instant,
-    /// The call is on its way, or was.
-    is_sent: bool,
-    /// How the call ended, once that is known.
-    outcome: Option<CallOutcome>,
+    state: CallState,
+}
+
+impl CounterCall {
+    /// Ends the call, unless it has ended.
+    fn end(&mut self, outcome: CallOutcome) {
+        if !matches!(self.state, CallState::Ended(_)) {
+            self.state = CallState::Ended(outcome);
+        }
+    }
+
+    /// Ends the call at its timeout, unless it has ended. A call that was never sent was not added; any other may be.
+    fn time_out(&mut self) {
+        let outcome = match self.state {
+            CallState::Waiting { .. } => Outcome::ConnectFailed,
+            CallState::Sent | CallState::Ended(_) => Outcome::Timeout,
+        };
+        self.end(CallOutcome::failed(outcome));
+    }
+
+    /// The event that reports the call and its outcome.
+    fn into_event(self, CallOutcome { outcome, total }: CallOutcome) -> Event {
+        Event::CounterReplied {
+            name: self.name,
+            outcome,
+            total,
+            elapsed: self.started_at.elapsed().as_nanos() as Nanos,
+        }
+    }
 }
 
 /// When any of the links was last answered.
@@ -59,22 +95,17 @@
     pub fn push(&self, name: String, amount: f64, keep_for: Nanos, limits: &Limits) {
         let mut calls = self.calls.borrow_mut();
         let has_capacity = calls.len() < limits.counter.max_pending_calls;
-        let call = if has_capacity {
-            CounterCall {
+        let state = if has_capacity {
+            CallState::Waiting {
                 command: encode(&name, amount, keep_for),
-                name,
-                started_at: Instant::now(),
-                is_sent: false,
-                outcome: None,
             }
         } else {
-            CounterCall {
-                command: Vec::new(),
-                name,
-                started_at: Instant::now(),
-                is_sent: false,
-                outcome: Some(CallOutcome::failed(Outcome::ConnectFailed)),
-            }
+            CallState::Ended(CallOutcome::failed(Outcome::ConnectFailed))
+        };
+        let call = CounterCall {
+            name,
+            started_at: Instant::now(),
+            state,
         };
         calls.push_back(call);
         self.added.notify_one();
@@ -89,55 +120,49 @@
         }
     }
 
-    /// Ends the calls that have timed out, and reports. A call that was never on its way was not added; any other may be.
+    /// Ends the calls that have timed out, and reports.
     pub fn expire(&self, limits: &Limits, engine: &EngineDriver) {
         let now = Instant::now();
         for call in self.calls.borrow_mut().iter_mut() {
             if call.started_at + limits.counter.call_timeout.get() > now {
                 break;
             }
-            let outcome = if call.is_sent {
-                Outcome::Timeout
-            } else {
-                Outcome::ConnectFailed
-            };
-            call.outcome.get_or_insert(CallOutcome::failed(outcome));
+            call.time_out();
         }
         self.report(engine);
     }
 
-    /// Reports the first calls, as far as their ends are known. The engine knows calls by their order, so that a call
-    /// whose end is known waits for those before it.
+    /// Reports the first calls, as far as they have ended. The engine knows calls by their order, so that a call that has
+    /// ended waits for those before it.
     pub fn report(&self, engine: &EngineDriver) {
-        while let Some((call, ended)) = self.take_ended() {
-            self.reported.set(self.reported.get() + 1);
-            engine.handle(Event::CounterReplied {
-                name: call.name,
-                outcome: ended.outcome,
-                total: ended.total,
-                elapsed: call.started_at.elapsed().as_nanos() as Nanos,
-            });
+        while let Some(event) = self.take_ended() {
+            engine.handle(event);
         }
     }
 
-    fn take_ended(&self) -> Option<(CounterCall, CallOutcome)> {
+    /// Takes the first call from the queue if it has ended; the event that reports it.
+    fn take_ended(&self) -> Option<Event> {
         let mut calls = self.calls.borrow_mut();
-        let ended = calls.front()?.outcome?;
-        Some((calls.pop_front()?, ended))
+        let CallState::Ended(outcome) = calls.front()?.state else {
+            return None;
+        };
+        let call = calls.pop_front()?;
+        self.reported.set(self.reported.get() + 1);
+        Some(call.into_event(outcome))
     }
 
-    /// Records the end of a call, if none is known.
+    /// Records the end of a call, unless it has ended.
     pub fn record(&self, number: u64, outcome: CallOutcome) {
         let Some(index) = number.checked_sub(self.reported.get()) else {
             return;
         };
         if let Some(call) = self.calls.borrow_mut().get_mut(index as usize) {
-            call.outcome.get_or_insert(outcome);
+            call.end(outcome);
         }
     }
 
     /// Ends the calls on a connection that is of no more use, and reports. Those whose last byte was never written were
-    /// not added; of the others nobody knows, which is the same as no answer in time.
+    /// not added; the others may have been, as after a timeout.
     pub fn abandon(&self, connection: CounterConnection, engine: &EngineDriver) {
         for call in &connection.unanswered {
             let outcome = if connection.has_written(call) {
@@ -151,13 +176,13 @@
         self.report(engine);
     }
 
-    /// Puts all calls that wait on a connection.
+    /// Writes all calls that wait to a connection's output.
     pub fn move_to(&self, connection: &mut CounterConnection) {
         let first = self.reported.get();
         for (number, call) in (first..).zip(self.calls.borrow_mut().iter_mut()) {
-            if !call.is_sent && call.outcome.is_none() {
-                call.is_sent = true;
-                connection.append(number, &mut call.command);
+            if let CallState::Waiting { command } = &mut call.state {
+                connection.append(number, command);
+                call.state = CallState::Sent;
             }
         }
     }
--- a/src/net/counter/connection.rs
+++ b/src/net/counter/connection.rs
@@ -1,12 +1,13 @@
 //! One connection to the counter, and the calls whose answers are still to come on it.
 
+use super::liveness::CallProgress;
 use crate::net::config::Limits;
 use crate::net::resp::codec;
 use std::collections::VecDeque;
 use std::io;
 use tokio::net::TcpStream;
 
-/// A call that was written, or is about to be.
+/// A call whose command was written, or is about to be.
 pub struct WrittenCall {
     /// The call's number in its queue.
     pub number: u64,
@@ -43,7 +44,7 @@
         }
     }
 
-    /// Appends a call to what is to be written.
+    /// Appends a call to the bytes to be written.
     pub fn append(&mut self, number: u64, command: &mut Vec<u8>) {
         self.output.append(command);
         self.unanswered.push_back(WrittenCall {
@@ -52,6 +53,17 @@
         });
     }
 
+    /// Whether calls wait for an answer, and whether others were answered before.
+    pub fn call_progress(&self) -> CallProgress {
+        if self.unanswered.is_empty() {
+            CallProgress::NoneWaiting
+        } else if self.has_answered {
+            CallProgress::AnsweredBefore
+        } else {
+            CallProgress::NeverAnswered
+        }
+    }
+
     /// Whether the last byte of a call has been written.
     pub fn has_written(&self, call: &WrittenCall) -> bool {
         call.end <= self.flushed
--- a/src/net/counter/mod.rs
+++ b/src/net/counter/mod.rs
@@ -7,7 +7,10 @@
 mod call_queue;
 mod client;
 mod connection;
+mod drain;
 mod link;
+mod liveness;
+mod receive;
 
 #[cfg(test)]
 mod tests;
--- a/src/net/resp/codec.rs
+++ b/src/net/resp/codec.rs
@@ -304,18 +304,21 @@
     }
 }
 
-/// Waits for more bytes; `Ok(false)` at the end of the stream. Cancelled while it waits, it has read nothing. The buffer has
-/// at least `step` bytes of free capacity, so that a read that does not fill it needs no further call.
+/// Waits for more bytes. Cancelled while it waits, it has read nothing. The buffer has at least `step` bytes of free
+/// capacity, so that a read that does not fill it needs no further call.
 ///
 /// # Errors
-/// The connection is broken.
+/// The connection has failed; [`io::ErrorKind::UnexpectedEof`] where the other side has closed it.
 pub async fn read_more(
     stream: &mut (impl AsyncRead + Unpin),
     buffer: &mut Vec<u8>,
     step: usize,
-) -> io::Result<bool> {
+) -> io::Result<()> {
     buffer.reserve(step);
-    Ok(stream.read_buf(buffer).await? > 0)
+    match stream.read_buf(buffer).await? {
+        0 => Err(io::ErrorKind::UnexpectedEof.into()),
+        _ => Ok(()),
+    }
 }
 
 /// Removes the first bytes of a buffer, and releases the memory that a long message needed.
--- /dev/null
+++ b/src/net/resp/downstream/closing.rs
@@ -0,0 +1,110 @@
+//! When the limiter closes a client connection.
+//!
+//! Knows no sockets.
+
+use super::input::InputState;
+use super::response_queue::CollectOutcome;
+
+#[cfg(test)]
+mod tests;
+
+/// Whether a connection came within the limit on connections.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Admission {
+    /// Its requests are served.
+    Served,
+    /// It came past the limit: its requests are rejected, and it closes after its first responses.
+    Rejected,
+}
+
+/// How a connection came to its end.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum ConnectionEnd {
+    /// The limiter closes it, with nothing of its responses unsent.
+    Orderly,
+    /// Its client has gone, or takes nothing any more.
+    Lost,
+}
+
+/// Whether a connection is closed at this moment.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum CloseDecision {
+    /// It stays open.
+    Keep,
+    /// It is closed.
+    Close,
+    /// It is closed, unless the client has sent another command by now.
+    CloseUnlessReceived,
+}
+
+/// What a connection has done and has still to do.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct Progress {
+    /// The bytes received and not parsed.
+    pub(super) input: InputState,
+    /// Where the collection of responses ended.
+    pub(super) collected: CollectOutcome,
+    /// The client has taken everything that was collected.
+    pub(super) is_output_empty: bool,
+    /// A response is pending.
+    pub(super) has_pending_response: bool,
+    /// A response has been collected completely.
+    pub(super) has_responded: bool,
+}
+
+impl Progress {
+    /// Whether every command received has its response, and the client has taken it.
+    pub(super) fn is_between_requests(&self) -> bool {
+        self.is_output_empty && !self.has_pending_response
+    }
+}
+
+/// How a connection stands to the shutdown and to the limit on connections.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct ClosePolicy {
+    admission: Admission,
+    /// It came while clients are being drained.
+    was_accepted_while_closing: bool,
+}
+
+impl ClosePolicy {
+    /// The policy of a connection that was accepted at this moment.
+    pub(super) fn new(admission: Admission, was_accepted_while_closing: bool) -> Self {
+        ClosePolicy {
+            admission,
+            was_accepted_while_closing,
+        }
+    }
+
+    /// Whether the connection came within the limit on connections.
+    pub(super) fn admission(&self) -> Admission {
+        self.admission
+    }
+
+    /// Decides whether a connection is closed. `is_closing`: clients are being drained.
+    pub(super) fn decide(&self, progress: &Progress, is_closing: bool) -> CloseDecision {
+        // The client can tell by the early end that a value is not complete.
+        if progress.collected == CollectOutcome::BodyFailed && progress.is_output_empty {
+            return CloseDecision::Close;
+        }
+        if !progress.is_between_requests() {
+            return CloseDecision::Keep;
+        }
+        match progress.input {
+            InputState::Malformed => CloseDecision::Close,
+            InputState::Empty if self.ends_between_requests(progress, is_closing) => {
+                CloseDecision::CloseUnlessReceived
+            }
+            InputState::Empty | InputState::PartialCommand => CloseDecision::Keep,
+        }
+    }
+
+    /// Whether the connection closes as soon as it is between requests: clients are being drained, or it came past the
+    /// limit. Commands that came together are all answered first. A connection that came while clients are being drained,
+    /// or past the limit, does not close before its first command.
+    fn ends_between_requests(&self, progress: &Progress, is_closing: bool) -> bool {
+        let is_drained = is_closing && (progress.has_responded || !self.was_accepted_while_closing);
+        let is_rejected = self.admission == Admission::Rejected && progress.has_responded;
+        is_drained || is_rejected
+    }
+}
--- a/src/net/resp/downstream/idle_connections.rs
+++ b/src/net/resp/downstream/idle_connections.rs
@@ -15,6 +15,15 @@
     serial: u64,
 }
 
+/// Whether a connection was evicted for another client.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Eviction {
+    /// One was evicted.
+    Evicted,
+    /// None is idle.
+    NoneIdle,
+}
+
 /// The connections that wait for a command; the first one is evicted first.
 #[derive(Default)]
 pub struct IdleConnections {
@@ -36,15 +45,15 @@
         self.waiting.borrow_mut().remove(&place);
     }
 
-    /// Evicts the first connection; false where none waits.
-    pub fn evict_first(&self) -> bool {
+    /// Evicts the first connection.
+    pub fn evict_first(&self) -> Eviction {
         let first = self.waiting.borrow_mut().pop_first();
         match first {
             Some((_, evicted)) => {
                 evicted.notify_one();
-                true
+                Eviction::Evicted
             }
-            None => false,
+            None => Eviction::NoneIdle,
         }
     }
 }
@@ -52,7 +61,7 @@
 /// What a connection does between two commands.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Activity {
-    /// A response is due.
+    /// A response is pending.
     Busy,
     /// Nothing of the next command has been received.
     Idle,
@@ -60,7 +69,7 @@
     PartialCommand,
 }
 
-/// How long one connection has been doing what it does.
+/// How long one connection has been idle, or in the middle of a command.
 pub struct IdleTimer {
     idle_connections: Rc<IdleConnections>,
     activity: Activity,
@@ -89,12 +98,12 @@
         self.is_new
     }
 
-    /// Takes what the connection does now.
+    /// Records what the connection does now.
     pub fn update(&mut self, activity: Activity, is_new: bool, limits: &Limits) {
         if activity == self.activity && is_new == self.is_new {
             return;
         }
-        // The time of a new connection runs from its start, whatever it sends.
+        // The time of a new connection runs from its start, also once a part of a command was received.
         if !is_new {
             self.since = Instant::now();
         }
--- a/src/net/resp/downstream/listener.rs
+++ b/src/net/resp/downstream/listener.rs
@@ -1,6 +1,8 @@
 //! Accepting client connections, until they close at the end of the process.
 
-use super::connection::{serve, Admission};
+use super::closing::Admission;
+use super::connection::serve;
+use super::idle_connections::Eviction;
 use super::Downstream;
 use crate::net::hot_restart::listener_handover;
 use crate::net::task::spawn;
@@ -70,21 +72,12 @@
             Some(Instant::now() + context.limits.hot_restart.listener_handover_grace);
     }
 
-    /// Accepts a connection, and waits while there are far too many.
-    ///
-    /// Past the limit the connection that has been idle longest is evicted; where none is idle, the new one is only told
-    /// that its requests are rejected; and far past the limit the process waits for others to close, since it would run out
-    /// of descriptors.
+    /// Accepts a connection. Far past the limit the process then waits for others to close, since it would run out of
+    /// descriptors.
     async fn accept(&mut self, stream: TcpStream) {
         let context = &self.downstream.context;
         let max_connections = context.limits.downstream_connection_share();
-        let is_full = context.shutdown.connections() >= max_connections;
-        let admission = if is_full && !self.downstream.idle_connections.evict_first() {
-            Admission::Rejected
-        } else {
-            Admission::Served
-        };
-        start(self.downstream, stream, admission);
+        start(self.downstream, stream, self.admit(max_connections));
         let most = max_connections + max_connections / EXCESS_DIVISOR;
         let mut connections = context.shutdown.subscribe_connections();
         let accepts_until = self.accepts_until;
@@ -95,6 +88,18 @@
             () = sleep_until(accepts_until.unwrap_or_else(Instant::now)), if accepts_until.is_some() => {}
         }
     }
+
+    /// Admits a connection. Past the limit the connection that has been idle longest is evicted for it; where none is
+    /// idle, the requests of the new one are rejected.
+    fn admit(&self, max_connections: usize) -> Admission {
+        if self.downstream.context.shutdown.connections() < max_connections {
+            return Admission::Served;
+        }
+        match self.downstream.idle_connections.evict_first() {
+            Eviction::Evicted => Admission::Served,
+            Eviction::NoneIdle => Admission::Rejected,
+        }
+    }
 }
 
 /// Starts to serve a connection, which counts until its task ends.
@@ -109,7 +114,7 @@
     });
 }
 
-/// Accepts what waits in the queue, and closes it: a queue that is closed resets all connections that nobody accepted.
+/// Accepts the connections that wait in the queue, and closes it. A queue that is closed resets all connections in it.
 fn accept_queued(downstream: &Rc<Downstream>, listener: TcpListener) {
     let Ok(listener) = listener.into_std() else {
         return;
--- a/src/net/resp/downstream/mod.rs
+++ b/src/net/resp/downstream/mod.rs
@@ -1,9 +1,12 @@
 //! Client connections. Commands of one connection are handled side by side; their responses go out in the order in which
 //! the commands came.
 
+mod closing;
 mod connection;
 mod idle_connections;
+mod input;
 mod listener;
+mod output;
 mod request_catalog;
 mod request_parser;
 mod response_queue;
@@ -19,10 +22,10 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// What all client connections share.
+/// The state that all client connections share.
 pub struct Downstream {
     context: FrontendContext,
-    /// What a request may ask for.
+    /// The classes and plans that a request may name.
     catalog: Rc<RefCell<RequestCatalog>>,
     idle_connections: Rc<IdleConnections>,
 }
--- a/src/net/resp/downstream/response_queue.rs
+++ b/src/net/resp/downstream/response_queue.rs
@@ -28,15 +28,25 @@
     },
 }
 
-/// What was collected of the responses.
+/// Where a collection of responses ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum CollectOutcome {
+    /// At a response that is not ready yet, or behind the last one.
+    Pending,
+    /// Within a streamed value that will never be complete.
+    BodyFailed,
+}
+
+/// The result of a collection of responses.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Collected {
     /// How many of the collected bytes count as buffered.
     pub buffered_bytes: usize,
-    /// A streamed value will never be complete.
-    pub has_failed: bool,
+    /// Where the collection ended.
+    pub outcome: CollectOutcome,
 }
 
-/// The responses that are due, in the order of their commands.
+/// The pending responses, in the order of their commands.
 pub struct ResponseQueue {
     responses: RefCell<VecDeque<Response>>,
     /// The place of the first of them among all of the connection.
@@ -77,7 +87,7 @@
 }
 
 impl ResponseQueue {
-    /// No response is due.
+    /// A queue without responses.
     pub fn new(buffered_bytes: Rc<Cell<usize>>) -> Self {
         ResponseQueue {
             responses: RefCell::default(),
@@ -87,7 +97,7 @@
         }
     }
 
-    /// Sets the response of a place, if it is still due.
+    /// Sets the response of a place, if it is still pending.
     fn set(&self, place: u64, response: Response) {
         let index = (place - self.first_place.get()) as usize;
         if let Some(slot) = self.responses.borrow_mut().get_mut(index) {
@@ -129,31 +139,29 @@
     /// Moves the responses whose turn it is to `output`.
     pub fn collect(&self, output: &mut Vec<u8>) -> Collected {
         let mut responses = self.responses.borrow_mut();
-        let mut collected = Collected {
-            buffered_bytes: 0,
-            has_failed: false,
-        };
-        loop {
+        let mut buffered_bytes = 0;
+        let outcome = loop {
             match responses.front_mut() {
                 Some(Response::Ready(bytes)) => {
                     output.extend_from_slice(bytes);
-                    collected.buffered_bytes += bytes.len();
+                    buffered_bytes += bytes.len();
                 }
                 Some(Response::Streaming { head, body }) => {
                     output.append(head);
                     match body.read(output) {
-                        ReadOutcome::MoreToCome => return collected,
-                        ReadOutcome::Failed => {
-                            collected.has_failed = true;
-                            return collected;
-                        }
+                        ReadOutcome::MoreToCome => break CollectOutcome::Pending,
+                        ReadOutcome::Failed => break CollectOutcome::BodyFailed,
                         ReadOutcome::Complete => output.extend_from_slice(b"\r\n"),
                     }
                 }
-                Some(Response::Pending(_)) | None => return collected,
+                Some(Response::Pending(_)) | None => break CollectOutcome::Pending,
             }
             responses.pop_front();
             self.first_place.set(self.first_place.get() + 1);
+        };
+        Collected {
+            buffered_bytes,
+            outcome,
         }
     }
 
@@ -165,12 +173,12 @@
         }
     }
 
-    /// How many responses are due.
+    /// How many responses are pending.
     pub fn len(&self) -> usize {
         self.responses.borrow().len()
     }
 
-    /// Whether no response is due.
+    /// Whether no response is pending.
     pub fn is_empty(&self) -> bool {
         self.responses.borrow().is_empty()
     }
--- a/src/net/stages/attempt.rs
+++ b/src/net/stages/attempt.rs
@@ -225,7 +225,7 @@
         Ok(more.await)
     };
     match more {
-        Ok(Ok(true)) => Ok(()),
+        Ok(Ok(())) => Ok(()),
         Ok(_) => Err(Outcome::Reset),
         Err(_) => Err(Outcome::Error),
     }
@@ -308,7 +308,7 @@
         );
         if !matches!(
             timeout(limits.upstream.answer_stall_timeout, more).await,
-            Ok(Ok(true))
+            Ok(Ok(()))
         ) {
             return None;
         }
@@ -350,7 +350,7 @@
         );
         tokio::select! {
             more = timeout(limits.streaming.stall_timeout, more) => {
-                if !matches!(more, Ok(Ok(true))) {
+                if !matches!(more, Ok(Ok(()))) {
                     return Err(Outcome::Reset);
                 }
             }
