--- a/crates/admin/src/drain.rs
+++ b/crates/admin/src/drain.rs
@@ -37,7 +37,7 @@
     pub last_call: Nanos,
 }
 
-/// The latest order of staff on draining.
+/// The latest operator command on draining.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DrainOrder {
     /// Clients are to be drained.
@@ -48,12 +48,29 @@
     pub ordered_at: Nanos,
 }
 
+/// Whether an order of another process holds from now on.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum MergeOutcome {
+    /// It is later than the own one, and holds.
+    Adopted,
+    /// The own one is at least as late, and still holds.
+    Ignored,
+}
+
+/// Whether a later process of the limiter accepts the clients when this one shuts down.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Successor {
+    /// There is one, and it accepts the clients.
+    Serving,
+    /// There is none, or it does not accept clients yet.
+    None,
+}
+
 /// A shutdown that was asked for.
 #[derive(Clone, Copy, Debug)]
 struct Shutdown {
     asked_at: Nanos,
-    /// Another process accepts the clients already.
-    other_serves: bool,
+    successor: Successor,
 }
 
 /// Draining and shutdown of one process.
@@ -94,21 +111,22 @@
         }
     }
 
-    /// Starts the shutdown; the first call counts. `other_serves`: another process accepts the clients already.
-    pub fn shut_down(&mut self, now: Nanos, other_serves: bool) {
+    /// Starts the shutdown; the first call counts.
+    pub fn shut_down(&mut self, now: Nanos, successor: Successor) {
         self.shutdown.get_or_insert(Shutdown {
             asked_at: now,
-            other_serves,
+            successor,
         });
     }
 
-    /// Takes in another process's order, if it is later; returns whether it is.
-    pub fn merge(&mut self, order: DrainOrder) -> bool {
-        let is_later = order.ordered_at > self.order.ordered_at;
-        if is_later {
+    /// Takes in another process's order; the later one holds.
+    pub fn merge(&mut self, order: DrainOrder) -> MergeOutcome {
+        if order.ordered_at > self.order.ordered_at {
             self.order = order;
+            MergeOutcome::Adopted
+        } else {
+            MergeOutcome::Ignored
         }
-        is_later
     }
 
     /// The latest order on draining.
@@ -117,7 +135,7 @@
         self.order
     }
 
-    /// Whether the load balancer in front is told to send clients.
+    /// Whether the load balancer in front may send clients.
     #[must_use]
     pub fn accepts_clients(&self) -> bool {
         !self.order.is_draining
@@ -129,10 +147,11 @@
         self.shutdown.is_some()
     }
 
-    /// Whether another process accepted the clients already when the shutdown was asked for.
+    /// Whether a successor accepted the clients already when the shutdown was asked for.
     #[must_use]
-    pub fn other_serves(&self) -> bool {
-        self.shutdown.is_some_and(|shutdown| shutdown.other_serves)
+    pub fn has_serving_successor(&self) -> bool {
+        self.shutdown
+            .is_some_and(|shutdown| shutdown.successor == Successor::Serving)
     }
 
     /// The phase at a moment.
@@ -161,10 +180,9 @@
         let Some(shutdown) = self.shutdown else {
             return PhaseStatus::default();
         };
-        let linger = if shutdown.other_serves {
-            0
-        } else {
-            self.times.linger
+        let linger = match shutdown.successor {
+            Successor::Serving => 0,
+            Successor::None => self.times.linger,
         };
         self.status_since(shutdown.asked_at, linger, now)
     }
--- a/crates/admin/src/drain/tests.rs
+++ b/crates/admin/src/drain/tests.rs
@@ -13,8 +13,8 @@
     type Order = fn(&mut DrainController, Nanos);
     let (drain, undrain): (Order, Order) = (DrainController::drain, DrainController::undrain);
     let (end, relieved): (Order, Order) = (
-        |d, at| d.shut_down(at, false),
-        |d, at| d.shut_down(at, true),
+        |controller, at| controller.shut_down(at, Successor::None),
+        |controller, at| controller.shut_down(at, Successor::Serving),
     );
     use Phase::{Closing, LastCall, Serving};
     for (first, second, gap, at, phase, accepts_clients, ending) in [
@@ -70,16 +70,16 @@
             next_at: None
         }
     );
-    assert!(
-        !controller.merge(DrainOrder {
-            is_draining: false,
-            ordered_at: 90
-        }) && !controller.accepts_clients()
-    );
-    assert!(
-        controller.merge(DrainOrder {
-            is_draining: false,
-            ordered_at: 130
-        }) && controller.accepts_clients()
-    );
+    let earlier = DrainOrder {
+        is_draining: false,
+        ordered_at: 90,
+    };
+    assert_eq!(controller.merge(earlier), MergeOutcome::Ignored);
+    assert!(!controller.accepts_clients());
+    let later = DrainOrder {
+        is_draining: false,
+        ordered_at: 130,
+    };
+    assert_eq!(controller.merge(later), MergeOutcome::Adopted);
+    assert!(controller.accepts_clients());
 }
--- a/crates/admin/src/maintenance.rs
+++ b/crates/admin/src/maintenance.rs
@@ -1,6 +1,6 @@
-//! Hosts that staff took out of service.
+//! Hosts that operators took out of service.
 //!
-//! An order of staff overrides discovery: a host in maintenance is passed on as draining whatever a list says, until it is
+//! An operator command overrides discovery: a host in maintenance is passed on as draining, in whatever state a list has it, until it is
 //! enabled again. Of two processes' orders on one host the later one holds.
 
 use quartzcleat_decision::api::{HostEntry, HostState, Nanos};
@@ -28,6 +28,15 @@
     pub ordered_at: Nanos,
 }
 
+/// Whether an order changed the maintenance of its host.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum MaintenanceChange {
+    /// The maintenance began or ended.
+    Changed,
+    /// The host was in that state already.
+    Unchanged,
+}
+
 /// The host was never listed.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 #[error("no host of this name was ever listed")]
@@ -64,16 +73,16 @@
         self.listed.contains(name) || self.orders.contains_key(name)
     }
 
-    /// Takes a host out of service; returns whether that changed anything.
+    /// Takes a host out of service.
     ///
     /// # Errors
     /// It was never listed.
-    pub fn disable(&mut self, name: &str, now: Nanos) -> Result<bool, UnknownHost> {
+    pub fn disable(&mut self, name: &str, now: Nanos) -> Result<MaintenanceChange, UnknownHost> {
         if !self.contains(name) {
             return Err(UnknownHost);
         }
         if self.is_disabled(name) {
-            return Ok(false);
+            return Ok(MaintenanceChange::Unchanged);
         }
         let last_order = self.orders.get(name);
         let ordered_at = last_order.map_or(now, |order| now.max(order.ordered_at + 1));
@@ -84,24 +93,23 @@
         };
         self.orders.insert(name.to_owned(), order);
         self.revision += 1;
-        Ok(true)
+        Ok(MaintenanceChange::Changed)
     }
 
-    /// Puts a host back into service; returns whether that changed anything. One order ends any number of orders to
-    /// disable it.
+    /// Puts a host back into service. One order ends any number of orders to disable it.
     ///
     /// # Errors
     /// It was never listed.
-    pub fn enable(&mut self, name: &str, now: Nanos) -> Result<bool, UnknownHost> {
+    pub fn enable(&mut self, name: &str, now: Nanos) -> Result<MaintenanceChange, UnknownHost> {
         match self.orders.get_mut(name) {
             Some(order) if order.is_disabled => {
                 order.is_disabled = false;
                 order.ordered_at = now.max(order.ordered_at + 1);
                 self.revision += 1;
-                Ok(true)
+                Ok(MaintenanceChange::Changed)
             }
-            Some(_) => Ok(false),
-            None if self.listed.contains(name) => Ok(false),
+            Some(_) => Ok(MaintenanceChange::Unchanged),
+            None if self.listed.contains(name) => Ok(MaintenanceChange::Unchanged),
             None => Err(UnknownHost),
         }
     }
--- a/crates/admin/src/maintenance/tests.rs
+++ b/crates/admin/src/maintenance/tests.rs
@@ -20,7 +20,10 @@
     registry.record_listed("s");
     assert_eq!(
         (registry.disable("s", 10), registry.disable("s", 11)),
-        (Ok(true), Ok(false))
+        (
+            Ok(MaintenanceChange::Changed),
+            Ok(MaintenanceChange::Unchanged)
+        )
     );
     for (listed, expected) in [
         (HostState::Ready, HostState::Draining),
@@ -32,7 +35,10 @@
     }
     assert_eq!(
         (registry.enable("s", 20), registry.enable("s", 21)),
-        (Ok(true), Ok(false))
+        (
+            Ok(MaintenanceChange::Changed),
+            Ok(MaintenanceChange::Unchanged)
+        )
     );
     assert_eq!(
         registry.apply("s", &entry(HostState::Ready, 12)),
--- a/crates/admin/src/request.rs
+++ b/crates/admin/src/request.rs
@@ -1,4 +1,4 @@
-//! The requests of the admin interface: method, path and body to a typed request, or what is wrong with them.
+//! The requests of the admin interface: method, path and body parsed into a typed request, or the error in them.
 
 use serde_json::Value;
 use thiserror::Error;
@@ -6,7 +6,7 @@
 #[cfg(test)]
 mod tests;
 
-/// What a caller asks for.
+/// A request of an operator, or of the program that starts the process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AdminRequest {
     /// Whether this process accepts clients.
@@ -23,38 +23,62 @@
 
 /// Why a request is refused; the text says how to make a sound one.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-#[error("{advice}")]
-pub struct RequestError {
-    /// The HTTP status of the answer.
-    pub status: u16,
-    /// One sentence on what would be accepted.
-    pub advice: &'static str,
+pub enum RequestError {
+    /// The bytes are no HTTP request.
+    #[error("this is no HTTP/1.1; send a request line and headers")]
+    NotHttp,
+    /// The head is longer than allowed.
+    #[error("the call is too long; send a head and a body of a few hundred bytes")]
+    HeadTooLong,
+    /// The body is sent in chunks.
+    #[error("send the body with a Content-Length")]
+    ChunkedBody,
+    /// The length of the body is no number.
+    #[error("Content-Length is no number")]
+    LengthNotNumber,
+    /// The body is longer than allowed.
+    #[error("the body is too long; send {{\"host\":\"ID\"}}")]
+    BodyTooLong,
+    /// The request did not arrive completely in time.
+    #[error("the call did not end in time; send it at once")]
+    Timeout,
+    /// The path is not one of the interface's.
+    #[error("the paths are /ready, /servers/disable, /servers/enable, /drain, /undrain")]
+    UnknownPath,
+    /// The path is for GET.
+    #[error("use GET for /ready")]
+    GetOnly,
+    /// The path is for PUT.
+    #[error("use PUT for this path")]
+    PutOnly,
+    /// The body is not JSON.
+    #[error("the body is not JSON; send {{\"host\":\"ID\"}}")]
+    BodyNotJson,
+    /// The host is no text, or an empty one.
+    #[error("host is no text with an id in it; send {{\"host\":\"ID\"}}")]
+    HostNotText,
+    /// The body names no host.
+    #[error("host is missing; send {{\"host\":\"ID\"}}")]
+    HostMissing,
 }
 
-const UNKNOWN_PATH: RequestError = RequestError {
-    status: 404,
-    advice: "the paths are /ready, /servers/disable, /servers/enable, /drain, /undrain",
-};
-const GET_ONLY: RequestError = RequestError {
-    status: 405,
-    advice: "use GET for /ready",
-};
-const PUT_ONLY: RequestError = RequestError {
-    status: 405,
-    advice: "use PUT for this path",
-};
-const BODY_NOT_JSON: RequestError = RequestError {
-    status: 400,
-    advice: "the body is not JSON; send {\"host\":\"ID\"}",
-};
-const HOST_NOT_TEXT: RequestError = RequestError {
-    status: 422,
-    advice: "host is no text with an id in it; send {\"host\":\"ID\"}",
-};
-const HOST_MISSING: RequestError = RequestError {
-    status: 422,
-    advice: "host is missing; send {\"host\":\"ID\"}",
-};
+impl RequestError {
+    /// The HTTP status of the answer.
+    #[must_use]
+    pub fn status(&self) -> u16 {
+        match self {
+            RequestError::NotHttp
+            | RequestError::ChunkedBody
+            | RequestError::LengthNotNumber
+            | RequestError::BodyNotJson => 400,
+            RequestError::UnknownPath => 404,
+            RequestError::GetOnly | RequestError::PutOnly => 405,
+            RequestError::Timeout => 408,
+            RequestError::HeadTooLong | RequestError::BodyTooLong => 413,
+            RequestError::HostNotText | RequestError::HostMissing => 422,
+        }
+    }
+}
 
 /// Parses a request.
 ///
@@ -73,23 +97,22 @@
 }
 
 fn check_method(method: &str, path: &str) -> Result<(), RequestError> {
-    let (expected, error) = match path {
-        "/ready" => ("GET", GET_ONLY),
-        "/servers/disable" | "/servers/enable" | "/drain" | "/undrain" => ("PUT", PUT_ONLY),
-        _ => return Err(UNKNOWN_PATH),
-    };
-    if method == expected {
-        Ok(())
-    } else {
-        Err(error)
+    match (path, method) {
+        ("/ready", "GET") => Ok(()),
+        ("/ready", _) => Err(RequestError::GetOnly),
+        ("/servers/disable" | "/servers/enable" | "/drain" | "/undrain", "PUT") => Ok(()),
+        ("/servers/disable" | "/servers/enable" | "/drain" | "/undrain", _) => {
+            Err(RequestError::PutOnly)
+        }
+        _ => Err(RequestError::UnknownPath),
     }
 }
 
 fn parse_host(body: &[u8]) -> Result<String, RequestError> {
-    let body: Value = serde_json::from_slice(body).map_err(|_| BODY_NOT_JSON)?;
+    let body: Value = serde_json::from_slice(body).map_err(|_| RequestError::BodyNotJson)?;
     match body.get("host") {
         Some(Value::String(id)) if !id.is_empty() => Ok(id.clone()),
-        Some(_) => Err(HOST_NOT_TEXT),
-        None => Err(HOST_MISSING),
+        Some(_) => Err(RequestError::HostNotText),
+        None => Err(RequestError::HostMissing),
     }
 }
--- a/crates/admin/src/request/tests.rs
+++ b/crates/admin/src/request/tests.rs
@@ -32,7 +32,7 @@
     ] {
         let read = parse_request(method, path, body);
         assert_eq!(
-            read.map_err(|error| error.status),
+            read.map_err(|error| error.status()),
             expected,
             "{method} {path}"
         );
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -74,7 +74,7 @@
     }
 
     /// Whether a call site may write one more line now.
-    fn allows(&self, call_site: &CallSite, now_ms: u64) -> bool {
+    fn is_allowed(&self, call_site: &CallSite, now_ms: u64) -> bool {
         let window_end_ms = call_site.window_start_ms.load(Relaxed) + self.window_ms;
         if now_ms < window_end_ms && call_site.lines.load(Relaxed) > 0 {
             return call_site.lines.fetch_add(1, Relaxed) < self.burst;
@@ -102,7 +102,7 @@
         }
         let call_site = self.0.call_site(event.metadata());
         let now_ms = self.0.start.elapsed().as_millis() as u64;
-        self.0.allows(call_site, now_ms)
+        self.0.is_allowed(call_site, now_ms)
     }
 }
 
--- a/src/logging/tests.rs
+++ b/src/logging/tests.rs
@@ -13,9 +13,11 @@
     let rate_limiter = RateLimiter::new(&log);
     let call_site = &rate_limiter.call_sites[0];
     let written = (0..50)
-        .filter(|_| rate_limiter.allows(call_site, 5))
+        .filter(|_| rate_limiter.is_allowed(call_site, 5))
         .count();
     assert_eq!(written, 3);
-    assert!(!rate_limiter.allows(call_site, 10_004) && rate_limiter.allows(call_site, 10_005));
+    assert!(
+        !rate_limiter.is_allowed(call_site, 10_004) && rate_limiter.is_allowed(call_site, 10_005)
+    );
     assert_eq!(call_site.suppressed.load(Relaxed), 48);
 }
--- a/src/net/admin/http.rs
+++ b/src/net/admin/http.rs
@@ -6,42 +6,21 @@
 /// The most headers of a request.
 const MAX_HEADERS: usize = 64;
 
-const NOT_HTTP: RequestError = RequestError {
-    status: 400,
-    advice: "this is no HTTP/1.1; send a request line and headers",
-};
-const HEAD_TOO_LONG: RequestError = RequestError {
-    status: 413,
-    advice: "the call is too long; send a head and a body of a few hundred bytes",
-};
-const CHUNKED_BODY: RequestError = RequestError {
-    status: 400,
-    advice: "send the body with a Content-Length",
-};
-const LENGTH_NOT_NUMBER: RequestError = RequestError {
-    status: 400,
-    advice: "Content-Length is no number",
-};
-const BODY_TOO_LONG: RequestError = RequestError {
-    status: 413,
-    advice: "the body is too long; send {\"host\":\"ID\"}",
-};
-
 /// The request in `bytes`; `None` where more bytes have to come. Head and body are `max_bytes` long at most each.
 pub fn parse(bytes: &[u8], max_bytes: usize) -> Option<Result<AdminRequest, RequestError>> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
     let head_length = match head.parse(bytes) {
-        Err(_) => return Some(Err(NOT_HTTP)),
+        Err(_) => return Some(Err(RequestError::NotHttp)),
         Ok(httparse::Status::Partial) if bytes.len() > max_bytes => {
-            return Some(Err(HEAD_TOO_LONG));
+            return Some(Err(RequestError::HeadTooLong));
         }
         Ok(httparse::Status::Partial) => return None,
         Ok(httparse::Status::Complete(length)) => length,
     };
     let body_length = match body_length(head.headers) {
         Err(error) => return Some(Err(error)),
-        Ok(length) if length > max_bytes => return Some(Err(BODY_TOO_LONG)),
+        Ok(length) if length > max_bytes => return Some(Err(RequestError::BodyTooLong)),
         Ok(length) => length,
     };
     let body = bytes.get(head_length..head_length + body_length)?;
@@ -54,10 +33,10 @@
     let mut length = 0;
     for header in headers {
         if header.name.eq_ignore_ascii_case("transfer-encoding") {
-            return Err(CHUNKED_BODY);
+            return Err(RequestError::ChunkedBody);
         }
         if header.name.eq_ignore_ascii_case("content-length") {
-            length = parse_length(header.value).ok_or(LENGTH_NOT_NUMBER)?;
+            length = parse_length(header.value).ok_or(RequestError::LengthNotNumber)?;
         }
     }
     Ok(length)
--- a/src/net/admin/mod.rs
+++ b/src/net/admin/mod.rs
@@ -12,7 +12,7 @@
 use super::hot_restart::HotRestart;
 use super::shutdown::Shutdown;
 use super::unix_time;
-use quartzcleat_admin::{AdminRequest, RequestError, UnknownHost};
+use quartzcleat_admin::{AdminRequest, MaintenanceChange, RequestError, UnknownHost};
 use std::collections::VecDeque;
 use std::rc::Rc;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -69,7 +69,7 @@
 
 impl From<RequestError> for Response {
     fn from(error: RequestError) -> Self {
-        Response::new(error.status, error.advice)
+        Response::new(error.status(), error.to_string())
     }
 }
 
@@ -99,7 +99,7 @@
     let caller_time = context.limits.admin.request_timeout;
     let request = read_request(&mut stream, context.limits.admin.max_request_bytes);
     let response = match timeout(caller_time, request).await {
-        Err(_) => Response::new(408, "the call did not end in time; send it at once"),
+        Err(_) => RequestError::Timeout.into(),
         // The caller has gone, or never sent a whole request.
         Ok(None) => return,
         Ok(Some(Err(error))) => error.into(),
@@ -189,39 +189,39 @@
 }
 
 fn disable(context: &AdminContext, name: &str) -> Response {
+    let now = unix_time::now();
     let disabled = context
         .discovery
         .maintenance()
         .borrow_mut()
-        .disable(name, unix_time::now());
+        .disable(name, now);
     match disabled {
-        Err(UnknownHost) => unknown_host(context),
-        Ok(has_changed) => {
-            if has_changed {
-                tracing::info!(host = name, "maintenance started by an operator");
-                announce_maintenance(context, name);
-            }
-            Response::new(200, format!("{name} gets nothing new until it is enabled"))
+        Err(UnknownHost) => return unknown_host(context),
+        Ok(MaintenanceChange::Unchanged) => {}
+        Ok(MaintenanceChange::Changed) => {
+            tracing::info!(host = name, "maintenance started by an operator");
+            announce_maintenance(context, name);
         }
     }
+    Response::new(200, format!("{name} gets nothing new until it is enabled"))
 }
 
 fn enable(context: &AdminContext, name: &str) -> Response {
+    let now = unix_time::now();
     let enabled = context
         .discovery
         .maintenance()
         .borrow_mut()
-        .enable(name, unix_time::now());
+        .enable(name, now);
     match enabled {
-        Err(UnknownHost) => unknown_host(context),
-        Ok(has_changed) => {
-            if has_changed {
-                tracing::info!(host = name, "maintenance ended by an operator");
-                announce_maintenance(context, name);
-            }
-            Response::new(200, format!("{name} may serve"))
+        Err(UnknownHost) => return unknown_host(context),
+        Ok(MaintenanceChange::Unchanged) => {}
+        Ok(MaintenanceChange::Changed) => {
+            tracing::info!(host = name, "maintenance ended by an operator");
+            announce_maintenance(context, name);
         }
     }
+    Response::new(200, format!("{name} may serve"))
 }
 
 fn announce_maintenance(context: &AdminContext, name: &str) {
--- a/src/net/admin/tests.rs
+++ b/src/net/admin/tests.rs
@@ -33,7 +33,7 @@
 
 fn status(text: &str) -> Option<u16> {
     http::parse(text.as_bytes(), 8192)
-        .map(|parsed| parsed.map_or_else(|error| error.status, |_| 200))
+        .map(|parsed| parsed.map_or_else(|error| error.status(), |_| 200))
 }
 
 #[test]
--- a/src/net/discovery/endpoint_list.rs
+++ b/src/net/discovery/endpoint_list.rs
@@ -19,7 +19,7 @@
 pub struct Endpoint {
     /// Discovery's name of the host.
     pub name: String,
-    /// What the decision engine is told.
+    /// The host as the decision engine gets it.
     pub entry: HostEntry,
     /// Where the host listens.
     pub address: SocketAddr,
@@ -47,6 +47,17 @@
     }
 }
 
+/// How a received list relates to the list in force.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ListVerdict {
+    /// It is put into force.
+    Supersedes,
+    /// It is older, and changes nothing.
+    Older,
+    /// It has the same version, and changes nothing.
+    SameVersion,
+}
+
 /// Why a list is malformed.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum ListError {
@@ -128,20 +139,27 @@
         self.endpoints.get(name)
     }
 
-    /// Whether a list supersedes the one in force, where it answers a call that was made when `lists_received` lists had
-    /// been received.
+    /// Compares a list with the one in force, where it answers a call that was made when `lists_received` lists had been
+    /// received.
     ///
     /// Answers can overtake each other, so the version decides. A version that goes back is believed where no list was
     /// received since the call and two answers in a row go back: then discovery itself has started anew.
-    pub fn is_superseded_by(&mut self, list: &ReceivedList, lists_received: u64) -> bool {
+    pub fn compare(&mut self, list: &ReceivedList, lists_received: u64) -> ListVerdict {
         if list.version > self.version || !self.has_received {
-            return true;
+            return ListVerdict::Supersedes;
+        }
+        if list.is_full && lists_received == self.lists_received {
+            let doubted = self.doubted_version.replace(list.version);
+            let goes_back_again = doubted.is_some_and(|doubted| list.version >= doubted);
+            if list.version == self.version || goes_back_again {
+                return ListVerdict::Supersedes;
+            }
         }
-        if !list.is_full || lists_received != self.lists_received {
-            return false;
+        if list.version < self.version {
+            ListVerdict::Older
+        } else {
+            ListVerdict::SameVersion
         }
-        let doubted = self.doubted_version.replace(list.version);
-        list.version == self.version || doubted.is_some_and(|doubted| list.version >= doubted)
     }
 
     /// Puts a list into force that was received from discovery, or that was known before the start.
--- a/src/net/discovery/tests.rs
+++ b/src/net/discovery/tests.rs
@@ -5,6 +5,7 @@
 use crate::net::task::spawn;
 use crate::net::tests::{next, with_limiter};
 use crate::net::Limiter;
+use quartzcleat_admin::MaintenanceChange;
 use std::rc::Rc;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -105,7 +106,7 @@
         for round in 0..200 {
             let now = 1_000 * round;
             let disabled = maintenance.borrow_mut().disable("s-1", now);
-            assert_eq!(disabled, Ok(true));
+            assert_eq!(disabled, Ok(MaintenanceChange::Changed));
             client.reapply_maintenance("s-1");
             assert_eq!(state_for_engine(), HostState::Draining, "at the order");
             let lists = [("SERVING", false), ("DRAINING", false), ("SERVING", true)];
@@ -114,7 +115,7 @@
                 assert_eq!(state_for_engine(), HostState::Draining);
             }
             let enabled = maintenance.borrow_mut().enable("s-1", now + 500);
-            assert_eq!(enabled, Ok(true));
+            assert_eq!(enabled, Ok(MaintenanceChange::Changed));
             client.reapply_maintenance("s-1");
             assert_eq!(state_for_engine(), HostState::Ready);
         }
--- a/src/net/discovery/watch.rs
+++ b/src/net/discovery/watch.rs
@@ -3,7 +3,7 @@
 use super::backoff::Backoff;
 use super::client::DiscoveryClient;
 use super::connection::{DiscoveryConnection, DiscoveryError, ListRequest};
-use super::endpoint_list::ReceivedList;
+use super::endpoint_list::{ListVerdict, ReceivedList};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::time::{sleep, timeout, Instant};
@@ -112,7 +112,7 @@
     }
 }
 
-/// Takes a list that answers `request`; the request that follows it.
+/// Handles a list that answers `request`; the request that follows it.
 fn process(
     client: &DiscoveryClient,
     list: &ReceivedList,
@@ -120,21 +120,22 @@
     request: &ListRequest,
 ) -> Result<ListRequest, DiscoveryError> {
     let limits = client.limits();
-    let (supersedes, is_older) = {
-        let mut endpoints = client.endpoints().borrow_mut();
-        let supersedes = endpoints.is_superseded_by(list, lists_received);
-        (supersedes, list.version < endpoints.version())
-    };
-    if supersedes {
-        client.apply(list);
-    } else if is_older {
-        tracing::info!(version = list.version, "older endpoint list ignored");
-        let full = ListRequest::full(limits.discovery.watch_grace);
-        // A discovery that answers the call for the full list with old changes must not be asked in a busy loop.
-        if *request == full && !list.is_full {
-            return Err(DiscoveryError::NoFullList);
+    let verdict = client
+        .endpoints()
+        .borrow_mut()
+        .compare(list, lists_received);
+    match verdict {
+        ListVerdict::Supersedes => client.apply(list),
+        ListVerdict::SameVersion => {}
+        ListVerdict::Older => {
+            tracing::info!(version = list.version, "older endpoint list ignored");
+            let full = ListRequest::full(limits.discovery.watch_grace);
+            // A discovery that answers the call for the full list with old changes must not be asked in a busy loop.
+            if *request == full && !list.is_full {
+                return Err(DiscoveryError::NoFullList);
+            }
+            return Ok(full);
         }
-        return Ok(full);
     }
     Ok(ListRequest::changes_since(list.version, limits))
 }
@@ -153,7 +154,7 @@
 async fn check_once(client: &DiscoveryClient) {
     let address = client.address();
     let lists_received = client.endpoints().borrow().lists_received();
-    // The watch meets and reports whatever fails here.
+    // A call that fails here fails at the watch too, which reports it.
     let Ok(Ok(list)) = timeout(
         client.limits().discovery.full_list_timeout,
         full_list(client, address),
@@ -165,17 +166,13 @@
     if client.address() != address || !list.is_full {
         return;
     }
-    let (supersedes, version) = {
-        let mut endpoints = client.endpoints().borrow_mut();
-        let supersedes = endpoints.is_superseded_by(&list, lists_received);
-        (supersedes, endpoints.version())
-    };
-    if supersedes && list.version != version {
-        tracing::info!(
-            held = version,
-            version = list.version,
-            "discovery watch is behind"
-        );
+    let held = client.endpoints().borrow().version();
+    let verdict = client
+        .endpoints()
+        .borrow_mut()
+        .compare(&list, lists_received);
+    if verdict == ListVerdict::Supersedes && list.version != held {
+        tracing::info!(held, version = list.version, "discovery watch is behind");
         client.apply(&list);
         client.reopen_watch();
     }
--- a/src/net/engine/mod.rs
+++ b/src/net/engine/mod.rs
@@ -14,7 +14,7 @@
 pub use call_result::{CallResult, UsageFigures};
 pub use clock::Clock;
 pub use host_call::{Cancellation, Charge, HostCall, HostCommand};
-pub use open_requests::{AttemptId, AttemptOrder, OpenRequests, ReplyTo};
+pub use open_requests::{AttemptId, AttemptNotAllowed, AttemptOrder, OpenRequests, ReplyTo};
 pub use request::{Answer, Frontend, Payload, Request};
 
 use super::config::Limits;
--- a/src/net/engine/open_requests.rs
+++ b/src/net/engine/open_requests.rs
@@ -8,6 +8,7 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 use std::time::Duration;
+use thiserror::Error;
 use tokio::time::Instant;
 
 /// One attempt of one request.
@@ -32,6 +33,14 @@
     pub begins_within: Nanos,
 }
 
+/// An attempt must not be made.
+#[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
+#[error("attempt {attempt} must not be made")]
+pub struct AttemptNotAllowed {
+    /// The attempt's number, from zero.
+    pub attempt: u32,
+}
+
 /// Where the answer to a request goes.
 pub struct ReplyTo {
     /// The frontend.
@@ -133,7 +142,7 @@
     /// Closes a request; returns where its answer goes, if it was open.
     ///
     /// An attempt that is not written yet is cancelled: its connection may come up late or its host be slow to read,
-    /// and nothing may begin for a request that nobody waits for.
+    /// and no attempt may begin for a request that is closed.
     pub fn close(&mut self, id: RequestId) -> Option<ReplyTo> {
         let open = self.requests.remove(&id)?;
         for attempt in 0..open.attempts {
@@ -165,16 +174,19 @@
     /// Begins an attempt of a request.
     ///
     /// # Errors
-    /// The attempt must not be made, since the request is closed, past its deadline, or had all its attempts. The
-    /// error is the attempt's number.
-    pub fn begin_attempt(&mut self, order: AttemptOrder, now: Instant) -> Result<HostCall, u32> {
+    /// The attempt must not be made, since the request is closed, past its deadline, or had all its attempts.
+    pub fn begin_attempt(
+        &mut self,
+        order: AttemptOrder,
+        now: Instant,
+    ) -> Result<HostCall, AttemptNotAllowed> {
         let Some(open) = self.requests.get_mut(&order.id) else {
-            return Err(0);
+            return Err(AttemptNotAllowed { attempt: 0 });
         };
         let attempt = open.attempts;
         open.attempts += 1;
         if attempt >= self.max_attempts || now >= open.deadline {
-            return Err(attempt);
+            return Err(AttemptNotAllowed { attempt });
         }
         let deadline = match order.timeout {
             0 => open.deadline,
--- a/src/net/engine/tests.rs
+++ b/src/net/engine/tests.rs
@@ -106,10 +106,14 @@
             };
             assert_eq!(call.deadline, expected);
         }
-        assert_eq!(requests.begin_attempt(order(1), now).err(), Some(4));
+        let not_allowed = |attempt| Some(AttemptNotAllowed { attempt });
+        assert_eq!(requests.begin_attempt(order(1), now).err(), not_allowed(4));
         requests.open(no_reply(), &mut request(2), now);
-        assert_eq!(requests.begin_attempt(order(2), deadline).err(), Some(0));
-        assert_eq!(requests.begin_attempt(order(3), now).err(), Some(0));
+        assert_eq!(
+            requests.begin_attempt(order(2), deadline).err(),
+            not_allowed(0)
+        );
+        assert_eq!(requests.begin_attempt(order(3), now).err(), not_allowed(0));
         // An id is in use until its last attempt has ended.
         requests.close(RequestId(1));
         assert!(requests.contains(RequestId(1)));
--- a/src/net/hot_restart/mod.rs
+++ b/src/net/hot_restart/mod.rs
@@ -17,7 +17,7 @@
 use super::shutdown::Shutdown;
 use super::task::spawn;
 use crate::api::{Event, Nanos};
-use quartzcleat_admin::{DrainOrder, Handoff, SharedState, FORMAT_VERSION};
+use quartzcleat_admin::{DrainOrder, Handoff, SharedState, Successor, FORMAT_VERSION};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
@@ -44,6 +44,15 @@
     successors: RefCell<HashSet<String>>,
 }
 
+/// Whether a handoff of another process is still to come.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum HandoffStatus {
+    /// It was taken, or there is no other process.
+    Done,
+    /// It has not been written yet.
+    Awaited,
+}
+
 /// The values that the published state depends on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct PublishedState {
@@ -77,15 +86,16 @@
     }
 
     /// Whether another process of this limiter accepts clients.
-    pub fn other_serves(&self) -> bool {
+    pub fn is_other_serving(&self) -> bool {
         self.other_serving_since.get().is_some()
     }
 
-    /// Whether a later process of this limiter accepts the clients that come.
-    pub fn successor_serves(&self) -> bool {
-        self.other_serving_since
-            .get()
-            .is_some_and(|started_at| started_at > self.process.started_at)
+    /// Whether a later process of this limiter accepts the clients.
+    pub fn successor(&self) -> Successor {
+        match self.other_serving_since.get() {
+            Some(started_at) if started_at > self.process.started_at => Successor::Serving,
+            _ => Successor::None,
+        }
     }
 
     /// Publishes at short intervals from now on that this process accepts clients, and looks for other processes.
@@ -209,7 +219,7 @@
         self.shutdown.merge_drain_order(state.drain);
     }
 
-    /// Hands over what this process knows to a later one that is about to accept clients, once.
+    /// Hands over the endpoint list and the engine's snapshot to a later process that is about to accept clients, once.
     fn hand_over(&self, folder: &SharedFolder, successor: &str) {
         if !self.successors.borrow_mut().insert(successor.to_owned()) {
             return;
@@ -227,19 +237,19 @@
         }
     }
 
-    /// Takes what another process handed over; returns whether nothing more is to be waited for.
-    pub fn take_handoff(&self) -> bool {
+    /// Takes the handoff of another process, if it was written.
+    pub fn take_handoff(&self) -> HandoffStatus {
         let Some(folder) = &self.process.folder else {
-            return true;
+            return HandoffStatus::Done;
         };
         let Some(text) = folder.take_handoff() else {
-            return false;
+            return HandoffStatus::Awaited;
         };
         match Handoff::from_text(&text, self.process.identity()) {
             Ok(handoff) => self.apply_handoff(handoff),
             Err(error) => tracing::warn!(%error, "handoff ignored"),
         }
-        true
+        HandoffStatus::Done
     }
 
     fn apply_handoff(&self, handoff: Handoff) {
--- a/src/net/leases/export.rs
+++ b/src/net/leases/export.rs
@@ -16,6 +16,24 @@
 /// The time between two searches for spools of ended processes.
 const ORPHAN_SCAN_INTERVAL: Nanos = 2_000_000_000;
 
+/// Whether this limiter may write to the sink.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Tenure {
+    /// It holds the lease, and the sink is open.
+    Begun,
+    /// It does not hold the lease, or the sink cannot be read.
+    NotHeld,
+}
+
+/// Whether the sink has a batch.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum WriteOutcome {
+    /// It does.
+    InSink,
+    /// The lease does not permit a write, or the write failed.
+    NotWritten,
+}
+
 /// The export of usage.
 pub(super) struct ExportTask {
     pub(super) node: Rc<LeaseNode>,
@@ -40,9 +58,12 @@
                 self.usage_recorder.adopt_orphaned_spools();
             }
             self.usage_recorder.cut_batches();
-            if self.begin_tenure() {
-                self.write_own_batches();
-                self.fetch_from_others();
+            match self.begin_tenure() {
+                Tenure::Begun => {
+                    self.write_own_batches();
+                    self.fetch_from_others();
+                }
+                Tenure::NotHeld => {}
             }
         }
     }
@@ -54,30 +75,35 @@
         };
         match handle_message(&self.usage_recorder, sender_name, message) {
             MessageEffect::Respond(response) => self.send(sender, &response),
-            MessageEffect::Write(record) => {
-                if self.write(&record) {
-                    let acknowledgement = Message::Acknowledge {
-                        epoch: record.source.epoch,
-                        sequence: record.batch.sequence,
-                    };
-                    self.send(sender, &acknowledgement);
+            MessageEffect::Write(record) => match self.write(&record) {
+                WriteOutcome::InSink => {
+                    self.acknowledge(sender, &record);
                     self.send(sender, &Message::Fetch);
                 }
-            }
+                WriteOutcome::NotWritten => {}
+            },
             MessageEffect::None => {}
         }
     }
 
-    /// Whether the lease is held and the sink can be written.
-    fn begin_tenure(&self) -> bool {
+    fn acknowledge(&self, sender: u32, record: &SinkRecord) {
+        let acknowledgement = Message::Acknowledge {
+            epoch: record.source.epoch,
+            sequence: record.batch.sequence,
+        };
+        self.send(sender, &acknowledgement);
+    }
+
+    /// Begins the tenure of the lease, where it is held.
+    fn begin_tenure(&self) -> Tenure {
         let Some(guard) = self.node.guard(self.task_index) else {
-            return false;
+            return Tenure::NotHeld;
         };
         match self.exporter.begin_tenure(guard.token()) {
-            Ok(()) => true,
+            Ok(()) => Tenure::Begun,
             Err(error) => {
                 tracing::warn!(task = self.task.name, %error, "sink cannot be read");
-                false
+                Tenure::NotHeld
             }
         }
     }
@@ -87,11 +113,12 @@
             let Some(record) = self.usage_recorder.first_pending_batch() else {
                 return;
             };
-            if !self.write(&record) {
-                return;
+            match self.write(&record) {
+                WriteOutcome::InSink => self
+                    .usage_recorder
+                    .acknowledge(record.source.epoch, record.batch.sequence),
+                WriteOutcome::NotWritten => return,
             }
-            self.usage_recorder
-                .acknowledge(record.source.epoch, record.batch.sequence);
         }
     }
 
@@ -103,16 +130,18 @@
         }
     }
 
-    /// Writes a batch to the sink, where the lease permits it. Returns whether the sink has the batch.
-    fn write(&self, record: &SinkRecord) -> bool {
+    /// Writes a batch to the sink, where the lease permits it.
+    fn write(&self, record: &SinkRecord) -> WriteOutcome {
         let Some(operation) = self.node.permit(self.task_index, &self.task) else {
-            return false;
+            return WriteOutcome::NotWritten;
         };
-        let written = self.exporter.write(operation, record, &self.usage_recorder);
-        if let Err(error) = &written {
-            tracing::warn!(task = self.task.name, %error, "batch cannot be written to the sink");
+        match self.exporter.write(operation, record, &self.usage_recorder) {
+            Ok(()) => WriteOutcome::InSink,
+            Err(error) => {
+                tracing::warn!(task = self.task.name, %error, "batch cannot be written to the sink");
+                WriteOutcome::NotWritten
+            }
         }
-        written.is_ok()
     }
 
     fn send(&self, recipient: u32, message: &Message) {
--- a/src/net/leases/heartbeat.rs
+++ b/src/net/leases/heartbeat.rs
@@ -16,7 +16,7 @@
 /// The longest response of a target, in bytes.
 const MAX_RESPONSE_BYTES: u64 = 128;
 
-/// What a target has responded.
+/// The response of a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Response {
     /// The heartbeat was admitted.
--- a/src/net/limiter.rs
+++ b/src/net/limiter.rs
@@ -5,7 +5,7 @@
 use super::counter::{self, CounterClient};
 use super::discovery::{self, Backoff, DiscoveryClient, EndpointList};
 use super::engine::EngineDriver;
-use super::hot_restart::{HotRestart, LocalProcess};
+use super::hot_restart::{HandoffStatus, HotRestart, LocalProcess};
 use super::leases;
 use super::metrics_log::MetricsLog;
 use super::reload::{ActiveConfig, ConfigReloader};
@@ -129,7 +129,7 @@
             Some(address) => Some(bind_admin(address).await?),
             None => None,
         };
-        if self.hot_restart.other_serves() {
+        if self.hot_restart.is_other_serving() {
             self.catch_up().await;
         }
         let address = options.listen;
@@ -149,7 +149,7 @@
         shutdown::watch(&self.shutdown, move || {
             // Another process may have started a moment ago.
             hot_restart.look();
-            hot_restart.successor_serves()
+            hot_restart.successor()
         })?;
         self.reloader.watch()?;
         Ok(())
@@ -185,7 +185,7 @@
             sleep(self.limits.requests.deadline_margin).await;
         }
         let until = Instant::now() + self.limits.hot_restart.handoff_timeout;
-        while !self.hot_restart.take_handoff() && Instant::now() < until {
+        while self.hot_restart.take_handoff() == HandoffStatus::Awaited && Instant::now() < until {
             sleep(self.limits.requests.deadline_margin).await;
         }
     }
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -167,7 +167,7 @@
             sequence,
             payload,
         };
-        // A datagram may be lost anywhere on its way; both protocols repeat what they need an answer to.
+        // A datagram may be lost anywhere on its way; both protocols repeat the messages that they need an answer to.
         let _ = self
             .socket
             .try_send_to(&seal(&self.key, &envelope), *address);
@@ -200,9 +200,7 @@
         if envelope.sender as usize >= self.addresses.len() {
             return Err(DropReason::Unauthorized);
         }
-        if !self.remember_sequence(envelope.sender, envelope.sequence) {
-            return Err(DropReason::Repeated);
-        }
+        self.record_sequence(envelope.sender, envelope.sequence)?;
         Ok(Datagram {
             kind: DatagramKind::from_wire(envelope.kind),
             sender: envelope.sender,
@@ -210,15 +208,18 @@
         })
     }
 
-    /// Remembers a sequence number; `false` where it was received before.
-    fn remember_sequence(&self, sender: u32, sequence: u64) -> bool {
+    /// Records a sequence number.
+    ///
+    /// # Errors
+    /// It was received before.
+    fn record_sequence(&self, sender: u32, sequence: u64) -> Result<(), DropReason> {
         let mut received = self.received_sequences.borrow_mut();
         let latest = received.entry(sender).or_default();
         if latest.contains(&sequence) {
-            return false;
+            return Err(DropReason::Repeated);
         }
         latest.truncate(REMEMBERED_SEQUENCES - 1);
         latest.push_front(sequence);
-        true
+        Ok(())
     }
 }
--- a/src/net/resp/downstream/idle_connections.rs
+++ b/src/net/resp/downstream/idle_connections.rs
@@ -1,6 +1,7 @@
 //! Which connections are idle, for how long they may be, and which of them is evicted first for another client.
 
 use crate::net::config::Limits;
+use crate::net::resp::eviction::Eviction;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -15,15 +16,6 @@
     serial: u64,
 }
 
-/// Whether a connection was evicted for another client.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Eviction {
-    /// One was evicted.
-    Evicted,
-    /// None is idle.
-    NoneIdle,
-}
-
 /// The connections that wait for a command; the first one is evicted first.
 #[derive(Default)]
 pub struct IdleConnections {
--- a/src/net/resp/downstream/listener.rs
+++ b/src/net/resp/downstream/listener.rs
@@ -2,9 +2,9 @@
 
 use super::closing::Admission;
 use super::connection::serve;
-use super::idle_connections::Eviction;
 use super::Downstream;
 use crate::net::hot_restart::listener_handover;
+use crate::net::resp::eviction::Eviction;
 use crate::net::task::spawn;
 use std::rc::Rc;
 use tokio::net::{TcpListener, TcpStream};
@@ -63,7 +63,7 @@
     /// Further connections go to the other process of this limiter, if it serves.
     fn start_closing(&mut self, listener: &TcpListener) {
         let context = &self.downstream.context;
-        if context.shutdown.other_serves() {
+        if context.shutdown.has_serving_successor() {
             if let Err(error) = listener_handover::redirect_to_second(listener) {
                 tracing::info!(%error, "client connections still come to either process");
             }
--- a/src/net/resp/mod.rs
+++ b/src/net/resp/mod.rs
@@ -3,6 +3,7 @@
 pub mod close;
 pub mod codec;
 pub mod downstream;
+pub mod eviction;
 pub mod upstream;
 
 #[cfg(test)]
--- a/src/net/resp/upstream/call_codec.rs
+++ b/src/net/resp/upstream/call_codec.rs
@@ -1,4 +1,4 @@
-//! The commands that hosts are sent, and what their replies mean.
+//! The commands to hosts, and the meaning of their replies.
 
 use crate::api::{HostId, Load, Outcome, ReportSource};
 use crate::net::engine::{CallResult, HostCall, HostCommand, Payload, UsageFigures};
@@ -9,7 +9,7 @@
 /// The command that asks a host for its load.
 const LOAD_COMMAND: [&[u8]; 2] = [b"INFO", b"load"];
 
-/// What a reply means.
+/// The meaning of a reply.
 pub struct Interpretation {
     /// How the call ended.
     pub result: CallResult,
@@ -33,7 +33,7 @@
     }
 }
 
-/// What a reply to a command means. `bytes` are those that the ranges in `reply` refer to.
+/// Interprets a reply to a command. `bytes` are those that the ranges in `reply` refer to.
 pub fn interpret(
     reply: &Reply,
     bytes: &[u8],
@@ -106,11 +106,11 @@
         HostCommand::HealthCheck => b"$",
         HostCommand::Attempt { .. } => b"*3\r\n$",
     };
-    begins_alike(input, b"-") || begins_alike(input, expected)
+    has_common_start(input, b"-") || has_common_start(input, expected)
 }
 
 /// Whether two byte strings are equal as far as both reach.
-fn begins_alike(one: &[u8], other: &[u8]) -> bool {
+fn has_common_start(one: &[u8], other: &[u8]) -> bool {
     one.iter().zip(other).all(|(left, right)| left == right)
 }
 
@@ -155,7 +155,8 @@
     }
 }
 
-/// Appends the command of a call. The arguments go on byte for byte; the wait in them becomes what is left of it.
+/// Appends the command of a call. The arguments are forwarded byte for byte, but for the wait, which becomes the remaining
+/// one.
 pub fn write_command(call: &HostCall, now: Instant, output: &mut Vec<u8>) {
     let HostCommand::Attempt { payload, .. } = &call.command else {
         return codec::write_command(&LOAD_COMMAND, output);
--- a/src/net/resp/upstream/pool.rs
+++ b/src/net/resp/upstream/pool.rs
@@ -4,6 +4,7 @@
 use crate::net::config::Limits;
 use crate::net::engine::HostCall;
 use crate::net::metrics::SharedMetrics;
+use crate::net::resp::eviction::Eviction;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -58,8 +59,8 @@
         }
     }
 
-    /// Whether what was decided before the host stopped being ready may no longer be sent there.
-    fn drain_grace_is_over(&self, limits: &Limits) -> bool {
+    /// Whether calls that were decided before the host stopped being ready may no longer be sent there.
+    fn is_drain_grace_over(&self, limits: &Limits) -> bool {
         self.unready_since
             .is_some_and(|since| since.elapsed() >= limits.upstream.drain_grace.get())
     }
@@ -143,7 +144,7 @@
     pub fn forget_gone_hosts(&self, limits: &Limits) {
         self.hosts
             .borrow_mut()
-            .retain(|_, host| !(host.is_gone && host.drain_grace_is_over(limits)));
+            .retain(|_, host| !(host.is_gone && host.is_drain_grace_over(limits)));
         let hosts = self.hosts.borrow();
         self.connections_by_host
             .borrow_mut()
@@ -165,7 +166,7 @@
     pub fn address(&self, id: HostId, limits: &Limits) -> Option<SocketAddr> {
         let hosts = self.hosts.borrow();
         let host = hosts.get(&id)?;
-        (!host.drain_grace_is_over(limits)).then_some(host.address)
+        (!host.is_drain_grace_over(limits)).then_some(host.address)
     }
 
     /// Hands a call to the host's idle connection that was used last.
@@ -226,7 +227,10 @@
     /// none is idle.
     pub fn acquire_permit(&self, id: HostId, limits: &Limits) -> Option<ConnectionPermit> {
         if self.connections.get() >= limits.upstream_connection_share() {
-            self.close_longest_idle()?;
+            match self.close_longest_idle() {
+                Eviction::Evicted => {}
+                Eviction::NoneIdle => return None,
+            }
         }
         let by_host = self
             .connections_by_host
@@ -251,17 +255,17 @@
         }
     }
 
-    fn close_longest_idle(&self) -> Option<()> {
+    fn close_longest_idle(&self) -> Eviction {
         let mut hosts = self.hosts.borrow_mut();
-        let longest_idle =
-            |host: &&mut Host| host.idle.first().map_or(u64::MAX, |idle| idle.serial);
-        let host = hosts.values_mut().min_by_key(longest_idle)?;
-        if host.idle.is_empty() {
-            return None;
+        let hosts_with_idle = hosts.values_mut().filter(|host| !host.idle.is_empty());
+        match hosts_with_idle.min_by_key(|host| host.idle[0].serial) {
+            Some(host) => {
+                // The connection's task ends as the sender of its next call is dropped.
+                host.idle.remove(0);
+                Eviction::Evicted
+            }
+            None => Eviction::NoneIdle,
         }
-        // Its task ends as the sender of its next call is dropped.
-        drop(host.idle.remove(0));
-        Some(())
     }
 
     /// How many connections are up or being opened, by host.
--- a/src/net/shutdown.rs
+++ b/src/net/shutdown.rs
@@ -1,15 +1,15 @@
 //! Draining by an operator and the shutdown at SIGTERM.
 //!
-//! The drain controller decides how far both have come; here its phases are announced to those who wait for them. During a
-//! shutdown all goes on while the load balancer in front still sends clients, then connections close between requests,
-//! and the process ends once all accepted requests are answered.
+//! The drain controller decides on the phase; this unit announces the phases to the tasks that wait for them. During a
+//! shutdown clients are served as before while the load balancer in front still sends new ones. Then connections close
+//! between requests, and the process ends once all accepted requests are answered.
 
 use super::config::Limits;
 use super::signals::{self, SignalError};
 use super::task::spawn;
 use super::unix_time;
 use crate::api::Nanos;
-use quartzcleat_admin::{DrainController, DrainOrder, DrainTimes};
+use quartzcleat_admin::{DrainController, DrainOrder, DrainTimes, Successor};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
@@ -74,17 +74,17 @@
         *self.is_closing.borrow()
     }
 
-    /// Whether the load balancer in front is told to send clients.
+    /// Whether the load balancer in front may send clients.
     pub fn accepts_clients(&self) -> bool {
         self.controller.borrow().accepts_clients()
     }
 
-    /// Whether another process accepts the clients, now that this one shuts down.
-    pub fn other_serves(&self) -> bool {
-        self.controller.borrow().other_serves()
+    /// Whether a successor accepts the clients, now that this process shuts down.
+    pub fn has_serving_successor(&self) -> bool {
+        self.controller.borrow().has_serving_successor()
     }
 
-    /// The latest order of staff on draining.
+    /// The latest operator command on draining.
     pub fn drain_order(&self) -> DrainOrder {
         self.controller.borrow().order()
     }
@@ -185,14 +185,14 @@
     });
 }
 
-/// Goes through the phases, and waits for SIGTERM. `other_serves` tells then whether another process of this limiter
+/// Goes through the phases, and waits for SIGTERM. `find_successor` then looks for another process of this limiter that
 /// accepts the clients.
 ///
 /// # Errors
 /// The signal handler cannot be installed.
 pub fn watch(
     shutdown: &Rc<Shutdown>,
-    other_serves: impl FnOnce() -> bool + 'static,
+    find_successor: impl FnOnce() -> Successor + 'static,
 ) -> Result<(), SignalError> {
     let mut terminate = signals::on_terminate()?;
     spawn(shutdown.clone().follow_phases());
@@ -200,9 +200,10 @@
     spawn(async move {
         terminate.recv().await;
         shutdown.asked_at.set(Some(Instant::now()));
-        let other_serves = other_serves();
+        let successor = find_successor();
+        let other_serves = successor == Successor::Serving;
         tracing::info!(other_serves, "shutdown started");
-        shutdown.update(|controller| controller.shut_down(unix_time::now(), other_serves));
+        shutdown.update(|controller| controller.shut_down(unix_time::now(), successor));
     });
     Ok(())
 }
--- a/src/net/stages/attempt.rs
+++ b/src/net/stages/attempt.rs
@@ -1,6 +1,6 @@
 //! Fifth stage: a call is written to its host, and its answer awaited.
 
-use super::complete;
+use super::complete::{self, Delivery};
 use super::pipeline::Pipeline;
 use crate::api::Outcome;
 use crate::net::config::Limits;
@@ -250,7 +250,7 @@
         limits.streaming.window_bytes,
         pipeline.engine.buffered_bytes(),
     );
-    if !complete::begin_streaming(pipeline, call, &body) {
+    if complete::begin_streaming(pipeline, call, &body) == Delivery::RequestClosed {
         return Outcome::Cancelled.into();
     }
     let streamed = forward_value(connection, &body, limits).await;
--- a/src/net/stages/complete.rs
+++ b/src/net/stages/complete.rs
@@ -9,15 +9,27 @@
 #[cfg(test)]
 mod tests;
 
-/// Gives a request its final answer; false where it is no longer open.
-pub fn answer(pipeline: &Pipeline, id: RequestId, answer: Answer) -> bool {
+/// Whether an answer reached its client.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Delivery {
+    /// It is the final answer of its request.
+    Delivered,
+    /// The request had its answer before, or its client has gone.
+    RequestClosed,
+}
+
+/// Gives a request its final answer, if it is still open.
+pub fn answer(pipeline: &Pipeline, id: RequestId, answer: Answer) -> Delivery {
     let reply_to = pipeline.engine.close_request(id);
     let open = reply_to.is_some();
     tracing::debug!(request = format_args!("{:016x}", id.0), open, "answered");
-    if let Some(reply_to) = reply_to {
-        reply_to.frontend.answer(reply_to.place, answer);
+    match reply_to {
+        Some(reply_to) => {
+            reply_to.frontend.answer(reply_to.place, answer);
+            Delivery::Delivered
+        }
+        None => Delivery::RequestClosed,
     }
-    open
 }
 
 /// The client of a request has gone: no answer is due any more.
@@ -35,18 +47,18 @@
 
 /// Fails a request that has no answer yet, and reports that to the engine.
 pub fn give_up(pipeline: &Pipeline, id: RequestId) {
-    if answer(pipeline, id, Answer::Failed) {
+    if answer(pipeline, id, Answer::Failed) == Delivery::Delivered {
         pipeline.engine.handle(Event::Abandoned { id });
     }
 }
 
-/// The answer of a request begins: a long value, which is streamed. False where nobody waits for it.
-pub fn begin_streaming(pipeline: &Pipeline, call: &HostCall, body: &Rc<StreamingBody>) -> bool {
+/// Begins to answer a request with a long value, which is streamed.
+pub fn begin_streaming(pipeline: &Pipeline, call: &HostCall, body: &Rc<StreamingBody>) -> Delivery {
     let HostCommand::Attempt { id, attempt, .. } = call.command else {
-        return false;
+        return Delivery::RequestClosed;
     };
-    let is_open = answer(pipeline, id, Answer::Streaming(body.clone()));
-    if is_open {
+    let delivery = answer(pipeline, id, Answer::Streaming(body.clone()));
+    if delivery == Delivery::Delivered {
         pipeline.engine.handle(Event::StreamStarted {
             id,
             attempt,
@@ -54,7 +66,7 @@
             elapsed: elapsed(call),
         });
     }
-    is_open
+    delivery
 }
 
 /// Records the end of a call. The first good attempt answers the client by itself.
--- a/src/net/stages/complete/tests.rs
+++ b/src/net/stages/complete/tests.rs
@@ -37,7 +37,10 @@
         };
         complete(pipeline, &second, result);
         give_up(pipeline, RequestId(1));
-        assert!(!answer(pipeline, RequestId(1), Answer::Failed));
+        assert_eq!(
+            answer(pipeline, RequestId(1), Answer::Failed),
+            Delivery::RequestClosed
+        );
         assert_eq!(*frontend.0.borrow(), [(9, Answer::Served(b"bed".to_vec()))]);
         for (number, expected) in [(0, (37, 2.5)), (1, (0, 0.0))] {
             let event = next(&limiter).await;
--- a/src/net/stages/route.rs
+++ b/src/net/stages/route.rs
@@ -3,7 +3,7 @@
 use super::pipeline::Pipeline;
 use super::{complete, dispatch};
 use crate::api::{Action, Event, Nanos, Outcome, Timer};
-use crate::net::engine::{Answer, AttemptId, AttemptOrder};
+use crate::net::engine::{Answer, AttemptId, AttemptNotAllowed, AttemptOrder};
 use crate::net::task::spawn;
 use std::rc::Rc;
 use std::time::Duration;
@@ -68,7 +68,7 @@
         .begin_attempt(order, Instant::now());
     match begun {
         Ok(call) => dispatch::send(pipeline, call),
-        Err(attempt) => report_never_sent(pipeline, order, attempt),
+        Err(AttemptNotAllowed { attempt }) => report_never_sent(pipeline, order, attempt),
     }
 }
 
@@ -87,7 +87,7 @@
     });
 }
 
-/// The wait that clients are told with a rejection; zero where they are told none.
+/// The wait that a rejection advises; zero where rejections advise none.
 fn advised_wait(pipeline: &Pipeline, retry_after: Nanos) -> Duration {
     if pipeline.limits.requests.sends_retry_after.get() {
         Duration::from_nanos(retry_after)
@@ -97,10 +97,10 @@
 }
 
 fn set_timer(pipeline: &Rc<Pipeline>, timer: Timer, after: Nanos) {
-    let due = Instant::now() + Duration::from_nanos(after);
+    let fires_at = Instant::now() + Duration::from_nanos(after);
     let pipeline = pipeline.clone();
     spawn(async move {
-        sleep_until(due).await;
+        sleep_until(fires_at).await;
         pipeline.engine.handle(Event::Timer { timer });
     });
 }
--- a/src/net/stages/tests.rs
+++ b/src/net/stages/tests.rs
@@ -1,5 +1,6 @@
 //! Crossings of a request's stages, forced on real sockets.
 
+use super::complete::Delivery;
 use super::{attempt, complete, dispatch};
 use crate::api::{Event, HostEntry, HostId, HostState, Nanos, Outcome, RequestId};
 use crate::net::engine::tests::{attempt_order, no_reply, reply_to, request, RecordingFrontend};
@@ -129,11 +130,8 @@
 fn nothing_is_sent_for_a_request_that_was_answered_while_a_connection_was_opened() {
     with_limiter(&[], |limiter| async move {
         let (host, front) = connecting(&limiter, LONG).await;
-        assert!(complete::answer(
-            limiter.pipeline(),
-            RequestId(1),
-            Answer::Failed
-        ));
+        let delivery = complete::answer(limiter.pipeline(), RequestId(1), Answer::Failed);
+        assert_eq!(delivery, Delivery::Delivered);
         nothing_goes_out(&limiter, host, Outcome::Cancelled).await;
         assert_eq!(*front.0.borrow(), [(0, Answer::Failed)]);
     });
--- a/src/net/usage_export/mod.rs
+++ b/src/net/usage_export/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! Every limiter keeps a spool in a folder of its own ([`UsageRecorder`]). The lease holder of the export fetches batches
 //! from all limiters and appends them to its tenure's file in the sink ([`Exporter`]). `quartzcleat_usage_export` defines
-//! what is written and in which order, so that a process may end between any two steps without a batch being lost or
+//! the lines that are written and their order, so that a process may end between any two steps without a batch being lost or
 //! counted twice.
 
 mod append_file;
--- a/src/net/usage_export/protocol.rs
+++ b/src/net/usage_export/protocol.rs
@@ -1,9 +1,9 @@
-//! What a limiter does on a message of the export.
+//! The handling of a message of the export.
 
 use super::UsageRecorder;
 use quartzcleat_usage_export::{Message, SinkRecord};
 
-/// What follows from a message.
+/// The effect of a message.
 pub enum MessageEffect {
     /// This response is sent back.
     Respond(Message),
--- a/src/net/usage_export/recorder.rs
+++ b/src/net/usage_export/recorder.rs
@@ -175,7 +175,7 @@
         }
     }
 
-    /// Adopts the spools of ended processes of this limiter, which nobody holds locked any more.
+    /// Adopts the spools of ended processes of this limiter, which are not locked any more.
     pub fn adopt_orphaned_spools(&self) {
         let Ok(entries) = fs::read_dir(&self.folder) else {
             return;
