--- a/src/net/engine/call_result.rs
+++ b/src/net/engine/call_result.rs
@@ -1,6 +1,6 @@
 //! How a call to a host ended.
 
-use crate::api::{Load, Outcome};
+use crate::api::{LoadReport, Outcome};
 
 /// How a call to a host ended.
 pub struct CallResult {
@@ -9,7 +9,7 @@
     /// The value of a good attempt.
     pub value: Vec<u8>,
     /// The load report that came along.
-    pub load: Load,
+    pub load: LoadReport,
     /// The figures on usage in the answer.
     pub used: UsageFigures,
 }
@@ -28,7 +28,7 @@
         CallResult {
             outcome,
             value: Vec::new(),
-            load: Load::new(),
+            load: LoadReport::default(),
             used: UsageFigures::default(),
         }
     }
--- a/src/net/limiter.rs
+++ b/src/net/limiter.rs
@@ -78,7 +78,7 @@
         let process = LocalProcess::new(config.name, config.listen, has_admin);
 
         let limits = Rc::new(config.limits);
-        let upstream = UpstreamPool::new(config.settings.reports, metrics.clone());
+        let upstream = UpstreamPool::new(config.settings.discovery.report_source, metrics.clone());
         let upstream = Rc::new(upstream);
         let engine = EngineDriver::new(config.settings, config.seed, &limits, metrics.clone());
         let engine = Rc::new(engine);
--- a/src/net/reload.rs
+++ b/src/net/reload.rs
@@ -134,7 +134,8 @@
         self.active_config.file.replace(config.file);
         self.active_config.set_addresses(config.addresses);
         self.limits.update_from(&config.limits);
-        self.upstream.set_report_source(config.settings.reports);
+        self.upstream
+            .set_report_source(config.settings.discovery.report_source);
         self.engine.apply_limits(&config.limits);
         self.apply_settings(config.settings, &config.zone_names);
         spawn(self.clone().retire_classes());
@@ -142,11 +143,11 @@
 
     /// Applies settings in which zones, classes and plans keep the indices that they had before.
     fn apply_settings(&self, mut settings: Settings, zone_names: &[String]) {
-        settings.zone = self
+        settings.limiters.own_zone = self
             .discovery
             .endpoints()
             .borrow_mut()
-            .zone(zone_names, settings.zone);
+            .zone(zone_names, settings.limiters.own_zone);
         let indexed = self.active_config.set_classes(&settings);
         tracing::info!(
             classes = settings.classes.len(),
--- a/src/net/stages/complete.rs
+++ b/src/net/stages/complete.rs
@@ -1,7 +1,7 @@
 //! Last stage: the end of a call is reported to the decision engine and, where it ends the request, to its client.
 
 use super::pipeline::Pipeline;
-use crate::api::{Event, HostId, Nanos, Outcome, RequestId};
+use crate::api::{AttemptIndex, Event, HostId, Nanos, Outcome, RequestId};
 use crate::net::engine::{Answer, AttemptId, CallResult, HostCall, HostCommand};
 use crate::net::streaming_body::StreamingBody;
 use std::rc::Rc;
@@ -61,7 +61,7 @@
     if delivery == Delivery::Delivered {
         pipeline.engine.handle(Event::StreamStarted {
             id,
-            attempt,
+            attempt: AttemptIndex(attempt),
             host: call.host,
             elapsed: elapsed(call),
         });
@@ -111,12 +111,12 @@
     }
     pipeline.engine.handle(Event::AttemptDone {
         id,
-        attempt,
+        attempt: AttemptIndex(attempt),
         host: call.host,
         outcome: result.outcome,
         elapsed,
         // The engine driver sets this as it hands the event over.
-        over: false,
+        is_request_finished: false,
         metered_use: result.used.metered,
         true_units: result.used.units,
         load: result.load,
--- a/src/net/stages/route.rs
+++ b/src/net/stages/route.rs
@@ -2,7 +2,7 @@
 
 use super::pipeline::Pipeline;
 use super::{complete, dispatch};
-use crate::api::{Action, Event, Nanos, Outcome, Timer};
+use crate::api::{Action, AttemptIndex, Event, LogEvent, Nanos, Timer};
 use crate::net::engine::{Answer, AttemptId, AttemptNotAllowed, AttemptOrder};
 use crate::net::task::spawn;
 use std::rc::Rc;
@@ -29,7 +29,7 @@
         Action::CancelAttempt { id, attempt } => {
             let attempt_id = AttemptId {
                 request: id,
-                attempt,
+                attempt: attempt.0,
             };
             pipeline
                 .engine
@@ -52,7 +52,7 @@
         } => pipeline.counter.call(name, amount, keep_for),
         Action::HealthCheck { host } => dispatch::check_health(pipeline, host),
         Action::CloseIdle { host } => pipeline.upstream.close_idle(host),
-        Action::Log { text } => tracing::info!("{text}"),
+        Action::Log { event } => log(event),
         // Discovery is watched all the time, and asked for the whole list after each gap.
         Action::Watch { .. } | Action::FetchHosts => {}
         // Limiters have no connections to each other.
@@ -60,6 +60,18 @@
     }
 }
 
+/// Writes a condition that the engine reports to the log.
+fn log(event: LogEvent) {
+    match event {
+        LogEvent::CounterDegraded => tracing::info!("counter degraded"),
+        LogEvent::CounterRecovered => tracing::info!("counter recovered"),
+        LogEvent::HostFailing {
+            host,
+            consecutive_failures,
+        } => tracing::info!(host = host.0, consecutive_failures, "host failing"),
+    }
+}
+
 fn begin_attempt(pipeline: &Rc<Pipeline>, order: AttemptOrder) {
     let begun = pipeline
         .engine
@@ -74,17 +86,10 @@
 
 fn report_never_sent(pipeline: &Pipeline, order: AttemptOrder, attempt: u32) {
     let AttemptOrder { id, host, .. } = order;
-    pipeline.engine.handle(Event::AttemptDone {
-        id,
-        attempt,
-        host,
-        outcome: Outcome::NeverSent,
-        elapsed: 0,
-        over: false,
-        metered_use: 0,
-        true_units: 0.0,
-        load: Vec::new(),
-    });
+    let attempt = AttemptIndex(attempt);
+    pipeline
+        .engine
+        .handle(Event::attempt_never_sent(id, attempt, host));
 }
 
 /// The wait that a rejection advises; zero where rejections advise none.
