--- a/src/net/discovery/client.rs
+++ b/src/net/discovery/client.rs
@@ -1,6 +1,7 @@
 //! The state of the discovery client: the endpoint list in force, and the hosts in maintenance.
 
-use super::endpoint_list::{Endpoint, EndpointList, ListError, ListSource, ReceivedList};
+use super::endpoint_list::{EndpointList, ListSource};
+use super::received_list::{Endpoint, ListError, ReceivedList};
 use crate::api::{Event, ListMode};
 use crate::net::config::{Addresses, Limits};
 use crate::net::engine::EngineDriver;
--- a/src/net/discovery/connection.rs
+++ b/src/net/discovery/connection.rs
@@ -1,7 +1,7 @@
 //! Requests to discovery and their responses, on one connection.
 
-use super::endpoint_list::ListError;
 use super::http::{parse_response, Response, ResponseError};
+use super::received_list::ListError;
 use crate::net::config::Limits;
 use serde_json::Value;
 use std::io;
--- /dev/null
+++ b/src/net/discovery/endpoint_names/tests.rs
@@ -0,0 +1,22 @@
+//! Ids of hosts.
+
+use super::*;
+
+impl EndpointNames {
+    /// How many names of hosts have ids, and how many ids are in use.
+    pub(crate) fn host_counts(&self) -> (usize, usize) {
+        (self.hosts.ids.len(), self.hosts.in_use.len())
+    }
+}
+
+/// A name has the same id at every limiter, and two names never share one.
+#[test]
+fn host_ids_are_stable_and_unique() {
+    let (mut one, mut two) = (HostIds::default(), HostIds::default());
+    assert_eq!(one.id("s-5be2a07c"), two.id("s-5be2a07c"));
+    let taken = two.id("s-1");
+    let mut three = HostIds::default();
+    three.in_use.insert(taken);
+    assert_eq!(three.id("s-1"), HostId(taken.0.wrapping_add(1)));
+    assert_eq!(three.id("s-1"), HostId(taken.0.wrapping_add(1)));
+}
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -5,7 +5,9 @@
 mod client;
 mod connection;
 mod endpoint_list;
+mod endpoint_names;
 pub mod http;
+mod received_list;
 mod watch;
 
 #[cfg(test)]
@@ -15,5 +17,6 @@
 
 pub use backoff::Backoff;
 pub use client::DiscoveryClient;
-pub use endpoint_list::{Endpoint, EndpointList, ListError, ListSource, ReceivedList};
+pub use endpoint_list::{EndpointList, ListSource};
+pub use received_list::ListError;
 pub use watch::{check, follow};
--- a/src/net/discovery/watch.rs
+++ b/src/net/discovery/watch.rs
@@ -3,7 +3,8 @@
 use super::backoff::Backoff;
 use super::client::DiscoveryClient;
 use super::connection::{DiscoveryConnection, DiscoveryError, ListRequest};
-use super::endpoint_list::{ListVerdict, ReceivedList};
+use super::endpoint_list::ListVerdict;
+use super::received_list::ReceivedList;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::time::{sleep, timeout, Instant};
--- a/src/net/stages/attempt.rs
+++ b/src/net/stages/attempt.rs
@@ -1,40 +1,20 @@
 //! Fifth stage: a call is written to its host, and its answer awaited.
 
-use super::complete::{self, Delivery};
+use super::call_end::CallEnd;
 use super::pipeline::Pipeline;
+use super::stream_value::stream_value;
 use crate::api::Outcome;
 use crate::net::config::Limits;
-use crate::net::engine::{CallResult, HostCall, HostCommand};
-use crate::net::resp::{
-    codec::{self, ParsedReply, ValueHead},
-    upstream::{self, UpstreamConnection},
-};
-use crate::net::streaming_body::StreamingBody;
+use crate::net::engine::{HostCall, HostCommand};
+use crate::net::resp::codec::{self, ParsedReply, ValueHead};
+use crate::net::resp::upstream::{self, UpstreamConnection};
 use std::io;
 use tokio::time::{sleep_until, timeout, timeout_at, Instant};
 
 #[cfg(test)]
 mod tests;
 
-/// How a call ended, and what that means for its connection.
-pub struct CallEnd {
-    /// How the call ended.
-    pub result: CallResult,
-    /// The connection can carry another call.
-    pub reusable: bool,
-}
-
-impl From<Outcome> for CallEnd {
-    /// The end of a call whose connection is of no more use.
-    fn from(outcome: Outcome) -> Self {
-        CallEnd {
-            result: outcome.into(),
-            reusable: false,
-        }
-    }
-}
-
-/// What an exchange with a host led to.
+/// The result of an exchange with a host.
 enum Exchange {
     /// The call has ended.
     Ended(CallEnd),
@@ -171,7 +151,7 @@
     }
 }
 
-/// What the bytes received so far are; `None` where more have to come.
+/// Parses the bytes received so far; `None` where more have to come.
 fn parse_answer(
     pipeline: &Pipeline,
     connection: &mut UpstreamConnection,
@@ -197,7 +177,7 @@
                 call.host,
                 pipeline.upstream.report_source(),
             );
-            // Whatever follows the answer belongs to no call.
+            // Bytes behind the answer belong to no call.
             let reusable = interpretation.is_known_form && length == connection.input.len();
             codec::consume(&mut connection.input, length, limits.codec.read_chunk_bytes);
             Some(Exchange::Ended(CallEnd {
@@ -230,144 +210,3 @@
         Err(_) => Err(Outcome::Error),
     }
 }
-
-/// Streams a long value to the client; no deadline of the limiter's cuts it off. Its last byte is kept back until the
-/// host has ended the value as it should, so that no client takes a malformed value for a complete one.
-async fn stream_value(
-    pipeline: &Pipeline,
-    connection: &mut UpstreamConnection,
-    call: &HostCall,
-    head: ValueHead,
-) -> CallEnd {
-    let limits = &pipeline.limits;
-    codec::consume(
-        &mut connection.input,
-        head.head_bytes,
-        limits.streaming.window_bytes,
-    );
-    let body = StreamingBody::new(
-        head.value_bytes,
-        limits.streaming.window_bytes,
-        pipeline.engine.buffered_bytes(),
-    );
-    if complete::begin_streaming(pipeline, call, &body) == Delivery::RequestClosed {
-        return Outcome::Cancelled.into();
-    }
-    let streamed = forward_value(connection, &body, limits).await;
-    match streamed {
-        Ok(()) => {
-            body.complete();
-            read_trailer(connection, call, limits).await
-        }
-        Err(outcome) => {
-            body.fail();
-            outcome.into()
-        }
-    }
-}
-
-/// Reads what follows a streamed value: the figures on usage and the load report. The value is good whatever they are.
-async fn read_trailer(
-    connection: &mut UpstreamConnection,
-    call: &HostCall,
-    limits: &Limits,
-) -> CallEnd {
-    let mut result = CallResult::from(Outcome::Good);
-    for is_usage in [true, false] {
-        let Some(ParsedReply { reply, length }) = read_trailer_member(connection, limits).await
-        else {
-            return CallEnd {
-                result,
-                reusable: false,
-            };
-        };
-        if is_usage {
-            result.used = upstream::usage_figures(&reply, &connection.input, call.host);
-        }
-        codec::consume(&mut connection.input, length, limits.codec.read_chunk_bytes);
-    }
-    CallEnd {
-        result,
-        reusable: connection.input.is_empty(),
-    }
-}
-
-/// The next member behind a streamed value; `None` where it is malformed or does not arrive in time.
-async fn read_trailer_member(
-    connection: &mut UpstreamConnection,
-    limits: &Limits,
-) -> Option<ParsedReply> {
-    loop {
-        if let Some(member) = codec::parse_reply(&connection.input, limits).ok()? {
-            return Some(member);
-        }
-        let more = codec::read_more(
-            &mut connection.stream,
-            &mut connection.input,
-            limits.codec.read_chunk_bytes,
-        );
-        if !matches!(
-            timeout(limits.upstream.answer_stall_timeout, more).await,
-            Ok(Ok(()))
-        ) {
-            return None;
-        }
-    }
-}
-
-/// Moves a value from its host into the body, to its end.
-async fn forward_value(
-    connection: &mut UpstreamConnection,
-    body: &StreamingBody,
-    limits: &Limits,
-) -> Result<(), Outcome> {
-    let mut remaining = body.length();
-    loop {
-        if body.is_abandoned() {
-            return Err(Outcome::Cancelled);
-        }
-        // The last byte stays behind until the end of the value has been seen.
-        let count = body
-            .free_capacity()
-            .min(connection.input.len())
-            .min(remaining - 1);
-        if count > 0 {
-            body.write(&connection.input[..count]);
-            connection.input.drain(..count);
-            remaining -= count;
-        }
-        if remaining == 1 && connection.input.len() >= 3 && body.free_capacity() > 0 {
-            return forward_last_byte(connection, body, limits);
-        }
-        if body.free_capacity() == 0 {
-            body.drained().await;
-            continue;
-        }
-        let more = codec::read_more(
-            &mut connection.stream,
-            &mut connection.input,
-            limits.streaming.window_bytes / 2,
-        );
-        tokio::select! {
-            more = timeout(limits.streaming.stall_timeout, more) => {
-                if !matches!(more, Ok(Ok(()))) {
-                    return Err(Outcome::Reset);
-                }
-            }
-            () = body.drained() => {}
-        }
-    }
-}
-
-fn forward_last_byte(
-    connection: &mut UpstreamConnection,
-    body: &StreamingBody,
-    limits: &Limits,
-) -> Result<(), Outcome> {
-    if &connection.input[1..3] != b"\r\n" {
-        return Err(Outcome::Error);
-    }
-    body.write(&connection.input[..1]);
-    codec::consume(&mut connection.input, 3, limits.codec.read_chunk_bytes);
-    Ok(())
-}
--- a/src/net/stages/dispatch.rs
+++ b/src/net/stages/dispatch.rs
@@ -1,8 +1,8 @@
 //! Fourth stage: a call gets a connection, the host's idle one that was used last or a new one.
 
-use super::attempt::{self, CallEnd};
-use super::complete;
+use super::call_end::CallEnd;
 use super::pipeline::Pipeline;
+use super::{attempt, complete};
 use crate::api::{HostId, Outcome};
 use crate::net::engine::{Cancellation, HostCall, HostCommand};
 use crate::net::resp::codec;
--- a/src/net/stages/mod.rs
+++ b/src/net/stages/mod.rs
@@ -3,10 +3,12 @@
 pub mod accept;
 pub mod admit;
 pub mod attempt;
+mod call_end;
 pub mod complete;
 pub mod dispatch;
 mod pipeline;
 pub mod route;
+mod stream_value;
 
 #[cfg(test)]
 mod tests;
--- /dev/null
+++ b/src/net/stages/stream_value.rs
@@ -0,0 +1,174 @@
+//! A long value on its way from a host to the client.
+
+use super::call_end::CallEnd;
+use super::complete::{self, Delivery};
+use super::pipeline::Pipeline;
+use crate::api::Outcome;
+use crate::net::config::Limits;
+use crate::net::engine::{CallResult, HostCall};
+use crate::net::resp::codec::{self, ParsedReply, ValueHead};
+use crate::net::resp::upstream::{self, UpstreamConnection};
+use crate::net::streaming_body::StreamingBody;
+use tokio::time::timeout;
+
+/// The bytes behind a value.
+const LINE_END: &[u8] = b"\r\n";
+
+/// The length of the last byte of a value with the line end behind it.
+const VALUE_END_BYTES: usize = 1 + LINE_END.len();
+
+/// Streams a long value to the client; no deadline of the limiter's cuts it off. Its last byte is kept back until the
+/// host has ended the value as it should, so that no client takes a malformed value for a complete one.
+pub(super) async fn stream_value(
+    pipeline: &Pipeline,
+    connection: &mut UpstreamConnection,
+    call: &HostCall,
+    head: ValueHead,
+) -> CallEnd {
+    let limits = &pipeline.limits;
+    codec::consume(
+        &mut connection.input,
+        head.head_bytes,
+        limits.streaming.window_bytes,
+    );
+    let body = StreamingBody::new(
+        head.value_bytes,
+        limits.streaming.window_bytes,
+        pipeline.engine.buffered_bytes(),
+    );
+    if complete::begin_streaming(pipeline, call, &body) == Delivery::RequestClosed {
+        return Outcome::Cancelled.into();
+    }
+    let streamed = forward_value(connection, &body, limits).await;
+    match streamed {
+        Ok(()) => {
+            body.complete();
+            read_trailer(connection, call, limits).await
+        }
+        Err(outcome) => {
+            body.fail();
+            outcome.into()
+        }
+    }
+}
+
+/// Reads the members behind a streamed value: the figures on usage, and the load report, which is dropped. The value is
+/// good even where they are malformed.
+async fn read_trailer(
+    connection: &mut UpstreamConnection,
+    call: &HostCall,
+    limits: &Limits,
+) -> CallEnd {
+    let mut result = CallResult::from(Outcome::Good);
+    let Some(usage) = read_trailer_member(connection, limits).await else {
+        return CallEnd::last(result);
+    };
+    result.used = upstream::usage_figures(&usage.reply, &connection.input, call.host);
+    consume(connection, usage.length, limits);
+    let Some(load_report) = read_trailer_member(connection, limits).await else {
+        return CallEnd::last(result);
+    };
+    consume(connection, load_report.length, limits);
+    CallEnd {
+        result,
+        reusable: connection.input.is_empty(),
+    }
+}
+
+fn consume(connection: &mut UpstreamConnection, count: usize, limits: &Limits) {
+    codec::consume(&mut connection.input, count, limits.codec.read_chunk_bytes);
+}
+
+/// The next member behind a streamed value; `None` where it is malformed or does not arrive in time.
+async fn read_trailer_member(
+    connection: &mut UpstreamConnection,
+    limits: &Limits,
+) -> Option<ParsedReply> {
+    loop {
+        if let Some(member) = codec::parse_reply(&connection.input, limits).ok()? {
+            return Some(member);
+        }
+        let more = codec::read_more(
+            &mut connection.stream,
+            &mut connection.input,
+            limits.codec.read_chunk_bytes,
+        );
+        let received = timeout(limits.upstream.answer_stall_timeout, more).await;
+        received.ok()?.ok()?;
+    }
+}
+
+/// Moves a value from its host into the body, to its end.
+async fn forward_value(
+    connection: &mut UpstreamConnection,
+    body: &StreamingBody,
+    limits: &Limits,
+) -> Result<(), Outcome> {
+    let mut remaining = body.length();
+    loop {
+        if body.is_abandoned() {
+            return Err(Outcome::Cancelled);
+        }
+        // The last byte stays behind until the end of the value has been seen.
+        remaining -= forward_received(connection, body, remaining - 1);
+        let is_end_received = connection.input.len() >= VALUE_END_BYTES;
+        if remaining == 1 && is_end_received && body.free_capacity() > 0 {
+            return forward_last_byte(connection, body, limits);
+        }
+        if body.free_capacity() == 0 {
+            body.drained().await;
+        } else {
+            receive_more(connection, body, limits).await?;
+        }
+    }
+}
+
+/// Moves up to `max_count` received bytes into the body, as far as it has capacity; returns how many.
+fn forward_received(
+    connection: &mut UpstreamConnection,
+    body: &StreamingBody,
+    max_count: usize,
+) -> usize {
+    let count = body
+        .free_capacity()
+        .min(connection.input.len())
+        .min(max_count);
+    if count > 0 {
+        body.write(&connection.input[..count]);
+        connection.input.drain(..count);
+    }
+    count
+}
+
+/// Waits until more of the value was received, or its client has taken some or has gone.
+async fn receive_more(
+    connection: &mut UpstreamConnection,
+    body: &StreamingBody,
+    limits: &Limits,
+) -> Result<(), Outcome> {
+    let more = codec::read_more(
+        &mut connection.stream,
+        &mut connection.input,
+        limits.streaming.window_bytes / 2,
+    );
+    tokio::select! {
+        received = timeout(limits.streaming.stall_timeout, more) => match received {
+            Ok(Ok(())) => Ok(()),
+            Ok(Err(_)) | Err(_) => Err(Outcome::Reset),
+        },
+        () = body.drained() => Ok(()),
+    }
+}
+
+fn forward_last_byte(
+    connection: &mut UpstreamConnection,
+    body: &StreamingBody,
+    limits: &Limits,
+) -> Result<(), Outcome> {
+    if !connection.input[1..].starts_with(LINE_END) {
+        return Err(Outcome::Error);
+    }
+    body.write(&connection.input[..1]);
+    consume(connection, VALUE_END_BYTES, limits);
+    Ok(())
+}
