--- a/crates/admin/src/class_indices.rs
+++ b/crates/admin/src/class_indices.rs
@@ -1,7 +1,7 @@
 //! Indices of classes and plans over reloads of the configuration.
 //!
-//! Open requests carry an index, so what it stands for never changes while a request may carry it. A class that a reload
-//! leaves as it was keeps its index, and with it what was learned of it.
+//! Open requests carry an index, so the meaning of an index never changes while a request may carry it. A class that a
+//! reload leaves unchanged keeps its index, and with it the engine's measurements.
 
 use quartzcleat_decision::api::{Class, Nanos, Plan, Settings};
 
@@ -104,7 +104,8 @@
         }
     }
 
-    /// The indices whose names are accepted, one for each name: that in force goes before one removed a moment ago.
+    /// The indices whose names are accepted, one for each name. An entry in force precedes one that was removed a
+    /// moment ago.
     fn accepted(&self, now: Nanos) -> Vec<u32> {
         (0..self.entries.len())
             .filter(|index| self.is_accepted(*index, now))
--- a/crates/admin/src/drain.rs
+++ b/crates/admin/src/drain.rs
@@ -1,5 +1,5 @@
 //! Whether clients are accepted: draining by an operator, and the shutdown at SIGTERM, in one state machine. Both go
-//! through the same phases, each from its own start, and the one that is further on decides.
+//! through the same phases, each from its own start, and the later phase of the two holds.
 
 use quartzcleat_decision::api::Nanos;
 use serde::{Deserialize, Serialize};
@@ -7,7 +7,7 @@
 #[cfg(test)]
 mod tests;
 
-/// How far draining has come.
+/// The phase of draining.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
     /// All clients are served, and connections are kept.
@@ -97,7 +97,7 @@
         self.set_order(true, now);
     }
 
-    /// Stops draining; a shutdown that was asked for goes on.
+    /// Stops draining; a shutdown that has started continues.
     pub fn undrain(&mut self, now: Nanos) {
         self.set_order(false, now);
     }
--- a/crates/admin/src/handoff.rs
+++ b/crates/admin/src/handoff.rs
@@ -1,5 +1,5 @@
-//! What the first process of a limiter hands to one that starts beside it: its endpoint list, in discovery's form, and
-//! what its decision engine has learned. Read once; a text that cannot be read is ignored.
+//! The handoff from the first process of a limiter to one that starts beside it: its endpoint list, in discovery's
+//! form, and a snapshot of its decision engine. It is read once; a text that cannot be read is ignored.
 
 use crate::stored::{check_header, LimiterIdentity, StoredError, FORMAT_VERSION};
 use quartzcleat_decision::EngineSnapshot;
@@ -9,7 +9,7 @@
 #[cfg(test)]
 mod tests;
 
-/// What is handed over.
+/// The handoff of one process.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Handoff {
     version: u32,
@@ -19,12 +19,12 @@
     pub zones: Vec<String>,
     /// The endpoint list.
     pub list: Value,
-    /// What the decision engine has learned.
+    /// The snapshot of the decision engine.
     pub learned: EngineSnapshot,
 }
 
 impl Handoff {
-    /// What a process of a limiter hands over.
+    /// The handoff of a process of a limiter.
     #[must_use]
     pub fn new(
         limiter: LimiterIdentity<'_>,
@@ -49,7 +49,7 @@
         serde_json::to_string(self).unwrap_or_default()
     }
 
-    /// Parses what a process of this limiter handed over.
+    /// Parses the handoff of a process of this limiter.
     ///
     /// # Errors
     /// The text is malformed, of another format, or another limiter's.
--- a/crates/admin/src/maintenance.rs
+++ b/crates/admin/src/maintenance.rs
@@ -1,7 +1,7 @@
 //! Hosts that operators took out of service.
 //!
-//! An operator command overrides discovery: a host in maintenance is passed on as draining, in whatever state a list has it, until it is
-//! enabled again. Of two processes' orders on one host the later one holds.
+//! An operator command overrides discovery: a host in maintenance is passed on as draining until it is enabled again,
+//! in whichever state discovery lists it. Of two processes' orders on one host the later one holds.
 
 use quartzcleat_decision::api::{HostEntry, HostState, Nanos};
 use serde::{Deserialize, Serialize};
--- a/crates/admin/src/shared_state.rs
+++ b/crates/admin/src/shared_state.rs
@@ -1,6 +1,6 @@
-//! What a process tells the other process of its limiter.
+//! The state that a process shares with the other process of its limiter.
 //!
-//! While a new version takes over, both processes serve, and an order of staff to either holds for both. A text that
+//! While a new version takes over, both processes serve, and an operator command to either holds for both. A text that
 //! cannot be read is no state, and never stops a start.
 
 use crate::drain::DrainOrder;
@@ -45,7 +45,7 @@
         serde_json::to_string(self).unwrap_or_default()
     }
 
-    /// Parses what a process of this limiter published.
+    /// Parses the state that a process of this limiter published.
     ///
     /// # Errors
     /// The text is malformed, of another format, or another limiter's.
--- a/crates/admin/src/stored.rs
+++ b/crates/admin/src/stored.rs
@@ -1,4 +1,4 @@
-//! The header of what processes of a limiter store for each other.
+//! The header of the texts that processes of a limiter store for each other.
 
 use thiserror::Error;
 
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -1,5 +1,5 @@
 //! Logging with `tracing`: lines for people or JSON to standard error, filtered by level and target. Each call site is
-//! rate-limited, so that a fault that repeats does not fill what the platform keeps of standard error.
+//! rate-limited, so that a repeated fault does not fill the part of standard error that the platform keeps.
 
 use crate::net::metrics;
 use quartzcleat_config::product::{LogConfig, LogFormat};
@@ -34,12 +34,12 @@
     Begin(#[from] TryInitError),
 }
 
-/// What one call site has logged in its current window.
+/// The lines of one call site in its current window.
 #[derive(Default)]
 struct CallSite {
     /// The start of the window, in milliseconds since the limiter's start.
     window_start_ms: AtomicU64,
-    /// Lines since then, with those that were suppressed.
+    /// Lines since then, suppressed ones included.
     lines: AtomicU64,
     /// Lines suppressed in the window before, to be reported with the next line.
     suppressed: AtomicU64,
--- a/src/net/admin/http.rs
+++ b/src/net/admin/http.rs
@@ -6,7 +6,7 @@
 /// The most headers of a request.
 const MAX_HEADERS: usize = 64;
 
-/// The request in `bytes`; `None` where more bytes have to come. Head and body are `max_bytes` long at most each.
+/// Parses the request in `bytes`; `None` where it is incomplete. Head and body are `max_bytes` long at most each.
 pub fn parse(bytes: &[u8], max_bytes: usize) -> Option<Result<AdminRequest, RequestError>> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
--- a/src/net/admin/mod.rs
+++ b/src/net/admin/mod.rs
@@ -1,4 +1,5 @@
-//! The admin interface: HTTP/1.1, one request to a connection, for on-call staff and what starts the process.
+//! The admin interface: HTTP/1.1, one request to a connection, for operators and for the program that starts the
+//! process.
 //!
 //! Requests are parsed by `quartzcleat-admin`, and carried out here.
 
@@ -20,7 +21,7 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, timeout};
 
-/// What requests to the admin interface read and change.
+/// The parts that requests to the admin interface read and change.
 pub struct AdminContext {
     /// Sizes, counts and times.
     limits: Rc<Limits>,
@@ -129,7 +130,7 @@
     }
 }
 
-/// Writes the response and ends the connection. What of the request was left unread is read first: it would reset the
+/// Writes the response and ends the connection. Unread bytes of the request are read first: they would reset the
 /// connection, and the reset could overtake the response.
 async fn respond(stream: &mut TcpStream, response: &str) {
     // A caller that has gone needs no response.
@@ -139,8 +140,8 @@
     while stream.read(&mut unread).await.is_ok_and(|count| count > 0) {}
 }
 
-/// Waits for discovery's first list where a request names a host that is not known yet: staff may be quicker than the
-/// list, and a host on it was listed.
+/// Waits for discovery's first list where a request names a host that is not known yet: an operator may be quicker than
+/// the list, and a host on it was listed.
 async fn wait_for_first_list(context: &AdminContext, request: &AdminRequest) {
     let (AdminRequest::Disable(name) | AdminRequest::Enable(name)) = request else {
         return;
--- a/src/net/config/limits/downstream.rs
+++ b/src/net/config/limits/downstream.rs
@@ -8,8 +8,8 @@
     /// Connections of all processes of this limiter together. A further one replaces the connection that has been idle
     /// longest; where none is idle, all its requests are rejected.
     pub max_connections: usize,
-    /// How long a new connection may take to send its first complete command, and how long any further command may take from
-    /// its first byte to its last.
+    /// How long a new connection may take to send its first complete command, and how long any further command may take
+    /// from its first byte to its last.
     pub command_timeout: Duration,
     /// How long an idle connection is kept.
     pub idle_timeout: Duration,
@@ -23,8 +23,8 @@
     pub liveness_check_interval: Duration,
     /// Unanswered requests of one connection, past which further ones are rejected.
     pub max_pipelined_requests: usize,
-    /// Commands of one connection that may be queued, those past `max_pipelined_requests` included. With more of them the
-    /// connection is not read.
+    /// Commands of one connection that may be queued, those past `max_pipelined_requests` included. With more of them
+    /// the connection is not read.
     pub max_queued_commands: usize,
     /// Answers that a client has not read yet, past which its connection is not read.
     pub max_unsent_bytes: usize,
--- a/src/net/config/limits/mod.rs
+++ b/src/net/config/limits/mod.rs
@@ -94,7 +94,7 @@
         self.upstream.max_connections / self.hot_restart.process_count.get()
     }
 
-    /// Takes over the values that follow from the settings. What follows from the size of the process stays.
+    /// Takes over the limits that follow from the settings. Those that follow from the size of the process stay.
     pub fn update_from(&self, new: &Limits) {
         self.requests.update_from(&new.requests);
         self.upstream.update_from(&new.upstream);
--- a/src/net/config/limits/process.rs
+++ b/src/net/config/limits/process.rs
@@ -57,17 +57,17 @@
 
 /// A process runs on for this long where no class has a longer deadline.
 const MIN_SHUTDOWN_NANOS: u64 = 3_000_000_000;
-/// How long after SIGTERM everything goes on as before, until no further client is sent here.
+/// How long clients are served as before after SIGTERM, until the load balancer in front sends no more of them.
 const DRAIN_DELAY: Duration = Duration::from_millis(600);
 
 /// Limits for the end of the process. All times run from SIGTERM.
 #[derive(Clone, Debug)]
 pub struct ShutdownLimits {
-    /// How long everything goes on as before.
+    /// How long clients are served as before.
     pub drain_delay: Duration,
     /// When rejection of all new requests begins.
     pub reject_after: Duration,
-    /// When the process ends, whatever is left.
+    /// When the process ends, even where requests are still open.
     pub timeout: Cell<Duration>,
     /// How long before `timeout` the last answers are given.
     pub final_answer_margin: Cell<Duration>,
--- a/src/net/config/limits/services.rs
+++ b/src/net/config/limits/services.rs
@@ -18,8 +18,8 @@
     pub max_pending_calls: usize,
     /// The longest answer.
     pub max_answer_bytes: usize,
-    /// How long a connection with pending calls may be silent. A counter that hangs still counts the connections given up;
-    /// its longest outage must not use up the 32 that it holds.
+    /// How long a connection with pending calls may be silent. A counter that hangs still counts the connections given
+    /// up; its longest outage must not use up the 32 that it holds.
     pub silence_timeout: Duration,
     /// How long an idle connection is kept.
     pub idle_timeout: Duration,
@@ -40,8 +40,8 @@
 
 /// The time that the poll of one limiter takes up in a poll cycle: all limiters together make 25 calls a second.
 const POLL_SLOT: Duration = Duration::from_millis(40);
-/// Of 100 calls made at once 60 waited 2 s in vain, of 100 spread over 4 s none. The cycle stays below the 6 s after which a
-/// change counts as known to all limiters, polled or not.
+/// Of 100 calls made at once 60 waited 2 s in vain, of 100 spread over 4 s none. The cycle stays below the 6 s after
+/// which a change counts as known to all limiters, polled or not.
 const MAX_POLL_CYCLE: Duration = Duration::from_secs(4);
 /// Polls that come back without a change take a quarter of the calls that discovery can answer, at most.
 const POLL_CYCLES_PER_WATCH: u32 = 4;
@@ -59,14 +59,15 @@
     pub max_response_bytes: usize,
     /// How long discovery is asked to wait for a change.
     pub watch_timeout: Duration,
-    /// How much later than `watch_timeout` its answer may come. Hosts that a stale watch has missed are found 2 s after it.
+    /// How much later than `watch_timeout` its answer may come. Hosts that a stale watch has missed are found within 2
+    /// s of its end.
     pub watch_grace: Duration,
     /// How often the complete list is requested beside the watch, where discovery is not polled.
     pub full_list_interval: Duration,
     /// How long that request may take.
     pub full_list_timeout: Duration,
-    /// The longest pause before a failed call is retried. With the call itself (connect and answer) it stays below the 6 s
-    /// after which a change counts as known.
+    /// The longest pause before a failed call is retried. With the call itself (connect and answer) it stays below the
+    /// 6 s after which a change counts as known.
     pub max_backoff: Duration,
 }
 
--- a/src/net/config/limits/upstream.rs
+++ b/src/net/config/limits/upstream.rs
@@ -27,8 +27,8 @@
     pub(super) fn new(settings: &Settings, resources: Resources) -> Self {
         UpstreamLimits {
             max_connections: resources.sockets * 3 / 10,
-            // Half of the time for which hosts keep it: a request that is written to a connection that the host just closed
-            // ends with a reset.
+            // Half of the time for which hosts keep it: a request that is written to a connection that the host just
+            // closed ends with a reset.
             idle_timeout: Cell::new(resources.host_idle_timeout / 2),
             reuse_delay: Duration::from_millis(20),
             answer_stall_timeout: Duration::from_millis(250),
@@ -47,7 +47,8 @@
 pub struct StreamingLimits {
     /// The longest value.
     pub max_value_bytes: usize,
-    /// The bytes of a value that may be buffered between host and client, and as many again that the client has not read.
+    /// The bytes of a value that may be buffered between host and client, and as many again that the client has not
+    /// read.
     pub window_bytes: usize,
     /// How long a host may pause within a value.
     pub stall_timeout: Duration,
--- a/src/net/config/parse.rs
+++ b/src/net/config/parse.rs
@@ -73,8 +73,8 @@
 
 /// Parses a configuration that replaces `current`, the file in force.
 ///
-/// The addresses of services that the file names take precedence over the environment, which is as old as the process: the
-/// services may have moved since.
+/// The addresses of services that the file names take precedence over the environment, which is as old as the process:
+/// the services may have moved since.
 ///
 /// # Errors
 /// The text is not JSON, lacks something that the current file has, or is rejected by [`parse`].
--- a/src/net/config/platform_settings.rs
+++ b/src/net/config/platform_settings.rs
@@ -1,4 +1,4 @@
-//! The platform's settings within the file: what the decision engine takes, and what concerns sockets only.
+//! The platform's settings within the file: those of the decision engine, and those that concern sockets only.
 
 use super::ConfigError;
 use crate::api::Settings;
--- a/src/net/config/tests.rs
+++ b/src/net/config/tests.rs
@@ -41,8 +41,8 @@
     }
 }
 
-/// At the start the environment takes precedence over the file; a replacement takes precedence over the environment for the
-/// addresses of services.
+/// At the start the environment takes precedence over the file; a replacement takes precedence over the environment for
+/// the addresses of services.
 #[test]
 fn replacement_file_takes_precedence_over_environment() {
     let text = include_str!("../../../examples/toy.json");
--- a/src/net/counter/answer.rs
+++ b/src/net/counter/answer.rs
@@ -38,10 +38,10 @@
 #[error("malformed answer of the counter")]
 pub struct MalformedAnswer;
 
-/// The answer at the start of `input`; `None` where more bytes have to come.
+/// Parses the answer at the start of `input`; `None` where it is incomplete.
 ///
 /// A rejection proves that nothing was added, so only the error words of the counter count as one. Bytes that cannot
-/// become an answer are not waited for.
+/// become an answer are malformed at once.
 ///
 /// # Errors
 /// The bytes are no answer: the call may have been added.
--- a/src/net/counter/call_queue.rs
+++ b/src/net/counter/call_queue.rs
@@ -18,7 +18,7 @@
 /// The longest time that the counter keeps a name, in milliseconds.
 const MAX_KEEP_MS: u64 = 60_000;
 
-/// How far a call has come.
+/// The state of a call.
 enum CallState {
     /// It waits for a connection.
     Waiting {
@@ -132,8 +132,8 @@
         self.report(engine);
     }
 
-    /// Reports the first calls, as far as they have ended. The engine knows calls by their order, so that a call that has
-    /// ended waits for those before it.
+    /// Reports the first calls, as far as they have ended. The engine identifies calls by their order, so that a call
+    /// that has ended waits for the calls before it.
     pub fn report(&self, engine: &EngineDriver) {
         while let Some(event) = self.take_ended() {
             engine.handle(event);
@@ -161,8 +161,8 @@
         }
     }
 
-    /// Ends the calls on a connection that is of no more use, and reports. Those whose last byte was never written were
-    /// not added; the others may have been, as after a timeout.
+    /// Ends the calls on a connection that is of no more use, and reports. Calls whose last byte was never written
+    /// were not added; the others may have been, as after a timeout.
     pub fn abandon(&self, connection: CounterConnection, engine: &EngineDriver) {
         for call in &connection.unanswered {
             let outcome = if connection.has_written(call) {
--- a/src/net/counter/connection.rs
+++ b/src/net/counter/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to the counter, and the calls whose answers are still to come on it.
+//! One connection to the counter, and the calls that wait for an answer on it.
 
 use super::liveness::CallProgress;
 use crate::net::config::Limits;
--- a/src/net/counter/link.rs
+++ b/src/net/counter/link.rs
@@ -34,7 +34,7 @@
     AddressChanged,
 }
 
-/// What a served connection waited for.
+/// The event that a served connection waited for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Wakeup {
     /// Bytes were received.
@@ -79,7 +79,7 @@
     pub async fn run(mut self) {
         loop {
             let Some(address) = self.addresses.borrow_and_update().counter else {
-                // Without a sender no address comes any more; the process is ending.
+                // Without a sender the address never changes again; the process is ending.
                 let _ = self.addresses.changed().await;
                 continue;
             };
--- a/src/net/counter/liveness.rs
+++ b/src/net/counter/liveness.rs
@@ -12,7 +12,7 @@
 /// A connection whose calls wait for this many call timeouts without an answer is compared with other connections.
 const SUSPECT_AFTER_CALL_TIMEOUTS: u32 = 2;
 
-/// What a connection to the counter waits for, and until when.
+/// The state of a connection to the counter, with its deadlines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionState {
     /// No call waits for an answer.
@@ -38,8 +38,8 @@
         /// The connection is given up then.
         fail_at: Instant,
     },
-    /// Calls have waited for so long that the connection is given up early where others were answered meanwhile: while a
-    /// connection is silent, a part of the customers stays uncounted.
+    /// Calls have waited for so long that the connection is given up early where others were answered meanwhile: while
+    /// a connection is silent, a part of the customers stays uncounted.
     Suspect {
         /// The connection is given up if another one was answered since.
         others_answered_since: Instant,
@@ -48,7 +48,7 @@
     },
 }
 
-/// What a connection comes to at the deadline of its state.
+/// The consequence of a deadline that has passed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeadlineVerdict {
     /// It is closed: it had nothing to do for long.
@@ -74,7 +74,7 @@
         }
     }
 
-    /// What the connection comes to at [`Self::deadline`].
+    /// The consequence once [`Self::deadline`] has passed.
     pub fn verdict_at_deadline(&self) -> DeadlineVerdict {
         match self {
             ConnectionState::Idle { .. } => DeadlineVerdict::Close,
@@ -130,7 +130,7 @@
 }
 
 impl Liveness {
-    /// A connection that came up at a moment.
+    /// A connection that was opened at a moment.
     pub fn new(now: Instant) -> Self {
         Liveness {
             last_progress: now,
--- a/src/net/discovery/backoff.rs
+++ b/src/net/discovery/backoff.rs
@@ -9,7 +9,7 @@
 /// Exponential backoff with full jitter: each pause is drawn between zero and a bound that doubles with every failure.
 ///
 /// Limiters that all failed at one moment would otherwise call again in step, for good, and a service that rejects most
-/// of them would serve nobody.
+/// of their calls would serve none of them.
 #[derive(Clone, Debug)]
 pub struct Backoff {
     least: Duration,
--- a/src/net/discovery/client.rs
+++ b/src/net/discovery/client.rs
@@ -129,7 +129,7 @@
         self.apply_from(list, ListSource::Discovery);
     }
 
-    /// Puts a list into force. Maintenance overrides what the list says of a host, here and in
+    /// Puts a list into force. Maintenance overrides the state that the list has for a host, here and in
     /// [`Self::reapply_maintenance`] only.
     fn apply_from(&self, list: &ReceivedList, source: ListSource) {
         self.endpoints.borrow_mut().apply(list, source);
@@ -149,7 +149,8 @@
             .retain_hosts(|host| upstream.contains_host(host));
     }
 
-    /// An endpoint with its maintenance applied: a host in maintenance is draining, whatever state discovery lists.
+    /// An endpoint with its maintenance applied: a host in maintenance is draining, in whichever state discovery lists
+    /// it.
     fn apply_maintenance(&self, endpoint: &Endpoint) -> Endpoint {
         let mut maintenance = self.maintenance.borrow_mut();
         if self.records_names {
--- a/src/net/discovery/connection.rs
+++ b/src/net/discovery/connection.rs
@@ -18,7 +18,7 @@
 /// Why a call to discovery failed.
 #[derive(Debug, Error)]
 pub enum DiscoveryError {
-    /// No connection came up in time.
+    /// No connection was established in time.
     #[error("no connection in time")]
     ConnectTimeout,
     /// The connection failed.
@@ -44,7 +44,7 @@
     NoFullList,
 }
 
-/// What discovery is asked for.
+/// A request for a list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListRequest {
     path: String,
@@ -90,7 +90,7 @@
     /// Connects to discovery.
     ///
     /// # Errors
-    /// No connection came up.
+    /// No connection was established.
     pub async fn open(address: SocketAddr) -> Result<Self, DiscoveryError> {
         let stream = TcpStream::connect(address).await?;
         // Without it requests are a little later; the connection works all the same.
--- a/src/net/discovery/crossings.rs
+++ b/src/net/discovery/crossings.rs
@@ -87,8 +87,8 @@
 
 const NOTIFIED_WITHIN: Duration = Duration::from_secs(6);
 
-/// However often discovery failed, and however many limiters there are, the next call, its connection and its answer fit
-/// into the 6 s after which a change counts as notified; and an idle watch is followed by another, with its answer,
+/// However often discovery failed, and however many limiters there are, the next call, its connection and its answer
+/// fit into the 6 s after which a change counts as notified; and an idle watch is followed by another, with its answer,
 /// within 2 s of the end of its wait.
 #[test]
 fn the_longest_backoff_fits_into_the_time_after_which_a_change_counts_as_notified() {
@@ -138,8 +138,8 @@
     }
 }
 
-/// Where discovery pushes: a watch becomes idle, its connection open; the check finds the change, and the watch is opened
-/// again.
+/// Where discovery pushes: a watch becomes idle, its connection open; the check finds the change, and the watch is
+/// opened again.
 #[test]
 fn an_idle_watch_is_opened_again_once_it_is_found_behind() {
     with_limiter(
@@ -214,8 +214,8 @@
     );
 }
 
-/// A check of the full list is answered late, after the watch brought a newer one: it changes nothing. Once discovery goes
-/// back for good it has restarted, and its list is applied.
+/// A check of the full list is answered late, after the watch brought a newer one: it changes nothing. Once discovery
+/// goes back for good it has restarted, and its list is applied.
 #[test]
 fn an_old_answer_undoes_nothing_and_a_restart_of_discovery_is_understood() {
     with_limiter(
--- a/src/net/discovery/endpoint_list.rs
+++ b/src/net/discovery/endpoint_list.rs
@@ -9,7 +9,7 @@
 #[cfg(test)]
 mod tests;
 
-/// Where a list comes from.
+/// The source of a list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListSource {
     /// Discovery returned it.
@@ -76,8 +76,8 @@
         self.endpoints.get(name)
     }
 
-    /// Compares a list with the one in force, where it answers a call that was made when `lists_received` lists had been
-    /// received.
+    /// Compares a list with the one in force, where it answers a call that was made when `lists_received` lists had
+    /// been received.
     ///
     /// Answers can overtake each other, so the version decides. A version that goes back is believed where no list was
     /// received since the call and two answers in a row go back: then discovery itself has started anew.
--- a/src/net/discovery/http.rs
+++ b/src/net/discovery/http.rs
@@ -48,7 +48,7 @@
     ChunkOverrun,
 }
 
-/// What the head of a response says.
+/// The head of a response.
 struct Head {
     status: u16,
     content_length: Option<usize>,
@@ -58,7 +58,7 @@
     body_start: usize,
 }
 
-/// The response at the start of `bytes`; `None` where more bytes have to come. Bodies have a length or are chunked, and
+/// Parses the response at the start of `bytes`; `None` where it is incomplete. Bodies have a length or are chunked, and
 /// are `max_body_bytes` long at most.
 ///
 /// # Errors
--- a/src/net/discovery/received_list.rs
+++ b/src/net/discovery/received_list.rs
@@ -27,7 +27,7 @@
 pub struct ReceivedList {
     /// Discovery's generation of the list.
     pub version: u64,
-    /// All hosts are contained; else only those that changed.
+    /// The list contains all hosts; otherwise only the hosts that changed.
     pub is_full: bool,
     /// The hosts.
     pub endpoints: Vec<Endpoint>,
--- a/src/net/discovery/watch.rs
+++ b/src/net/discovery/watch.rs
@@ -102,8 +102,8 @@
     }
 }
 
-/// Where discovery is polled, the full list is expensive, and refused to everybody while many ask: the watch begins with
-/// the changes since the list in force.
+/// Where discovery is polled, the full list is expensive, and refused to everybody while many ask: the watch begins
+/// with the changes since the list in force.
 fn first_request(client: &DiscoveryClient) -> ListRequest {
     let limits = client.limits();
     if limits.discovery.is_polled {
@@ -143,8 +143,8 @@
 
 /// Asks for the full list at intervals, beside the watch.
 ///
-/// A watch whose answer is lost looks like one without changes until its wait is over, while hosts come and go unseen. A
-/// watch that is found to be behind is opened again.
+/// A watch whose answer is lost looks like one without changes until its wait is over, while hosts are added and
+/// removed unseen. A watch that is found to be behind is opened again.
 pub async fn check(client: Rc<DiscoveryClient>) {
     loop {
         sleep(client.limits().discovery.full_list_interval).await;
--- a/src/net/engine/call_result.rs
+++ b/src/net/engine/call_result.rs
@@ -8,13 +8,13 @@
     pub outcome: Outcome,
     /// The value of a good attempt.
     pub value: Vec<u8>,
-    /// The load report that came along.
+    /// The load report in the answer.
     pub load: LoadReport,
     /// The figures on usage in the answer.
     pub used: UsageFigures,
 }
 
-/// The figures on usage that came with an answer; zero: not reported.
+/// The figures on usage in an answer; zero: not reported.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct UsageFigures {
     /// The customer's usage by the host's meter.
--- a/src/net/engine/host_call.rs
+++ b/src/net/engine/host_call.rs
@@ -7,7 +7,7 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// What a call asks of its host.
+/// The command of a call.
 #[derive(Debug)]
 pub enum HostCommand {
     /// An attempt of a request.
@@ -18,17 +18,17 @@
         attempt: u32,
         /// The arguments for the host.
         payload: Rc<Payload>,
-        /// Whose quota the request is charged to, and by how much.
+        /// The charge of the request.
         charge: Charge,
     },
     /// A health check.
     HealthCheck,
 }
 
-/// What a request is charged with as it comes in.
+/// The charge of a request to its customer's quota, as the client announces it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Charge {
-    /// The customer.
+    /// The customer whose quota is charged.
     pub customer: CustomerId,
     /// The units.
     pub units: f64,
@@ -37,7 +37,7 @@
 /// One call that the decision engine ordered.
 #[derive(Debug)]
 pub struct HostCall {
-    /// What is asked.
+    /// The command.
     pub command: HostCommand,
     /// The host.
     pub host: HostId,
@@ -54,7 +54,7 @@
 /// How a call is cancelled, and whether its host has the whole command.
 #[derive(Debug, Default)]
 pub struct Cancellation {
-    /// Notified when the call is cancelled, by the engine or because nobody waits for it before it is sent.
+    /// Notified when the call is cancelled, by the engine or because its request was closed before it was sent.
     pub requested: Notify,
     /// The last byte has been written: the host may run it.
     pub sent: Cell<bool>,
--- a/src/net/engine/mod.rs
+++ b/src/net/engine/mod.rs
@@ -1,4 +1,4 @@
-//! The decision engine at work: its clock, its queue of events, and the actions that it orders.
+//! The driver of the decision engine: its clock, its queue of events, and the actions that it orders.
 //!
 //! Knows no protocol: a frontend hands in a [`Request`] and gets one [`Answer`].
 
@@ -27,7 +27,7 @@
 use std::rc::{Rc, Weak};
 use tokio::time::Instant;
 
-/// Carries out what the decision engine orders.
+/// Carries out the actions that the decision engine orders.
 pub trait ActionExecutor {
     /// Carries out one action. Events that follow from it may be handed to the engine before this returns.
     fn execute(&self, action: Action);
@@ -48,7 +48,7 @@
 }
 
 impl EngineDriver {
-    /// An engine without events and requests. What it orders is dropped until an executor is set.
+    /// An engine without events and requests. Its actions are dropped until an executor is set.
     pub fn new(
         settings: Settings,
         seed: u64,
@@ -79,8 +79,9 @@
         &self.requests
     }
 
-    /// Hands an event to the engine and carries out what it orders. An event that follows from an action waits until
-    /// all actions of the event before are carried out: the engine is never called from within its own actions.
+    /// Hands an event to the engine and carries out the actions that it orders. An event that follows from an action
+    /// waits until all actions of the event before are carried out: the engine is never called from within its own
+    /// actions.
     pub fn handle(&self, event: Event) {
         self.events.borrow_mut().push_back(event);
         if self.is_running.replace(true) {
@@ -126,8 +127,8 @@
         }
         let now = self.clock.at(Instant::now());
         let engine = &mut *self.engine.borrow_mut();
-        // A panic on one event must not end all open requests: each is failed shortly before its deadline, whatever
-        // the engine does.
+        // A panic on one event must not end all open requests: each is failed shortly before its deadline,
+        // also where the engine never answers it.
         let outcome = catch_unwind(AssertUnwindSafe(|| engine.handle(now, event, actions)));
         if outcome.is_err() {
             tracing::error!("decision engine panicked on an event");
@@ -144,12 +145,12 @@
         self.clock.at(Instant::now())
     }
 
-    /// What the engine believes at this moment.
+    /// The engine's status at this moment.
     pub fn status(&self) -> EngineStatus {
         self.engine.borrow().status()
     }
 
-    /// What the engine has learned, for a process that takes over.
+    /// A snapshot of the engine's state, for a process that takes over.
     pub fn snapshot(&self) -> EngineSnapshot {
         self.engine.borrow().snapshot()
     }
@@ -159,7 +160,7 @@
         self.requests.borrow().has_capacity()
     }
 
-    /// Closes a request; returns where its answer goes, if it was open.
+    /// Closes a request; returns the recipient of its answer, if it was open.
     pub fn close_request(&self, id: RequestId) -> Option<ReplyTo> {
         self.requests.borrow_mut().close(id)
     }
--- a/src/net/engine/open_requests.rs
+++ b/src/net/engine/open_requests.rs
@@ -41,7 +41,7 @@
     pub attempt: u32,
 }
 
-/// Where the answer to a request goes.
+/// The recipient of the answer to a request.
 pub struct ReplyTo {
     /// The frontend.
     pub frontend: Rc<dyn Frontend>,
@@ -114,7 +114,7 @@
         self.requests.contains_key(&id)
     }
 
-    /// The count of buffered bytes, to which frontends add what their clients have not read.
+    /// The count of buffered bytes, to which frontends add the answers that their clients have not read.
     pub fn buffered_bytes(&self) -> Rc<Cell<usize>> {
         self.buffered_bytes.clone()
     }
@@ -139,7 +139,7 @@
         deadline
     }
 
-    /// Closes a request; returns where its answer goes, if it was open.
+    /// Closes a request; returns the recipient of its answer, if it was open.
     ///
     /// An attempt that is not written yet is cancelled: its connection may come up late or its host be slow to read,
     /// and no attempt may begin for a request that is closed.
--- a/src/net/engine/request.rs
+++ b/src/net/engine/request.rs
@@ -6,9 +6,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Where a request came from, and where its one answer goes.
+/// The origin of requests, which gets one answer to each.
 pub trait Frontend {
-    /// Gives the answer to the request that has this place among those of the frontend.
+    /// Gives the answer to a request; `place` is its place among the requests of the frontend.
     fn answer(&self, place: u64, answer: Answer);
 }
 
@@ -61,6 +61,6 @@
     pub flags: u64,
     /// How long the client waits.
     pub wait: Duration,
-    /// What is sent to a host.
+    /// The command for a host.
     pub payload: Payload,
 }
--- a/src/net/frontend.rs
+++ b/src/net/frontend.rs
@@ -1,6 +1,6 @@
-//! What a frontend needs to accept requests, and no more.
+//! The interface between a frontend and the rest of a limiter.
 //!
-//! A frontend knows neither the stages nor the other parts of a limiter; whatever protocol it speaks, it ends at
+//! A frontend knows neither the stages nor the other parts of a limiter. It translates its protocol to
 //! [`Request`] and [`Answer`](super::engine::Answer).
 
 use super::config::Limits;
@@ -17,11 +17,11 @@
 pub trait RequestHandler {
     /// Handles a request; its answer may be given before this returns.
     fn handle_request(&self, frontend: Rc<dyn Frontend>, place: u64, request: Request);
-    /// The client of a request has gone: no answer is due any more.
+    /// Closes a request whose client has gone, without an answer.
     fn abandon_request(&self, id: RequestId);
 }
 
-/// What every frontend is given.
+/// The parts of a limiter that every frontend works with.
 #[derive(Clone)]
 pub struct FrontendContext {
     /// Where requests are handed in.
--- a/src/net/hot_restart/listener_handover.rs
+++ b/src/net/hot_restart/listener_handover.rs
@@ -1,7 +1,7 @@
-//! Which of two processes that listen at one address accepts the connections that come.
+//! The choice which of two processes that listen at one address accepts further connections.
 //!
-//! A listening socket that is closed loses the connections in its queue. From the moment of handover none comes to the
-//! older process, so that it can empty its queue and then close it.
+//! A listening socket that is closed loses the connections in its queue. From the moment of handover the kernel
+//! gives all of them to the later process, so that the older one can empty its queue and then close it.
 
 use nix::libc::{sock_filter, sock_fprog};
 use nix::sys::socket::{setsockopt, sockopt::AttachReusePortCbpf};
--- a/src/net/hot_restart/local_process.rs
+++ b/src/net/hot_restart/local_process.rs
@@ -17,7 +17,8 @@
 }
 
 impl LocalProcess {
-    /// A process that starts at this moment. Without an admin interface there is no other process, and nothing is shared.
+    /// A process that starts at this moment. Without an admin interface there is no other process, and nothing is
+    /// shared.
     pub fn new(name: String, listen: SocketAddr, has_admin: bool) -> Self {
         let started_at = unix_time::now();
         LocalProcess {
--- a/src/net/hot_restart/mod.rs
+++ b/src/net/hot_restart/mod.rs
@@ -2,7 +2,8 @@
 //!
 //! Each process with an admin interface publishes a [`SharedState`], and looks for those of other processes at short
 //! intervals. The later order on each matter holds for both, also after the process that received it has ended. To a
-//! process that is about to accept clients, the one before it hands over its endpoint list and what its engine learned.
+//! process that is about to accept clients, the one before it hands over its endpoint list and a snapshot of its
+//! engine.
 
 pub mod listener_handover;
 mod local_process;
@@ -44,7 +45,7 @@
     successors: RefCell<HashSet<String>>,
 }
 
-/// Whether a handoff of another process is still to come.
+/// Whether a handoff of another process is still awaited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HandoffStatus {
     /// It was taken, or there is no other process.
@@ -98,7 +99,7 @@
         }
     }
 
-    /// Publishes at short intervals from now on that this process accepts clients, and looks for other processes.
+    /// Publishes from now on that this process accepts clients, and looks for other processes at short intervals.
     pub fn start_serving(self: &Rc<Self>) {
         self.is_serving.set(true);
         self.publish();
@@ -149,7 +150,8 @@
         }
     }
 
-    /// Takes in what other processes of this limiter published; the orders of one that has ended hold too.
+    /// Reads the states that other processes of this limiter published. The orders of a process that has ended hold
+    /// too.
     pub fn look(&self) {
         let Some(folder) = &self.process.folder else {
             return;
@@ -171,7 +173,7 @@
         }
     }
 
-    /// Takes in what one process published; returns when it started, if it lives and accepts clients.
+    /// Reads the state that one process published; returns when that process started, if it lives and accepts clients.
     fn look_at(&self, folder: &SharedFolder, process: &str) -> Option<Nanos> {
         let text = folder.read_state(process).ok()?;
         let state = match SharedState::from_text(&text, self.process.identity()) {
--- a/src/net/hot_restart/shared_folder.rs
+++ b/src/net/hot_restart/shared_folder.rs
@@ -1,7 +1,7 @@
-//! The files through which processes of one limiter tell each other their state, in `$TMPDIR`.
+//! The files through which processes of one limiter share their state, in `$TMPDIR`.
 //!
-//! Each process has a name of its own, from which its files are named: `.json` (its state), `.lock` (locked for as long as
-//! it lives) and `.heritage` (what another process hands to it). Files are written whole and then renamed.
+//! Each process has a name of its own, from which its files are named: `.json` (its state), `.lock` (locked for as long
+//! as it lives) and `.heritage` (the handoff of another process). Files are written whole and then renamed.
 
 use crate::api::Nanos;
 use std::cell::RefCell;
@@ -91,7 +91,7 @@
         File::open(lock).is_ok_and(|file| matches!(file.try_lock(), Err(TryLockError::WouldBlock)))
     }
 
-    /// Hands a text to another process.
+    /// Writes the handoff to another process.
     ///
     /// # Errors
     /// The folder cannot be written to.
@@ -100,7 +100,7 @@
         write_and_rename(&draft, &self.file(process, HANDOFF_SUFFIX), text)
     }
 
-    /// Takes what another process handed to this one, if it has.
+    /// Takes the handoff of another process to this one, if there is one.
     pub fn take_handoff(&self) -> Option<String> {
         let file = self.file(&self.own_name, HANDOFF_SUFFIX);
         let text = fs::read_to_string(&file).ok()?;
--- a/src/net/leases/export.rs
+++ b/src/net/leases/export.rs
@@ -1,5 +1,5 @@
-//! The task that exports usage: it cuts batches of this limiter's usage and, while it holds the lease, writes the batches
-//! of all limiters to the sink.
+//! The task that exports usage: it cuts batches of this limiter's usage and, while it holds the lease, writes the
+//! batches of all limiters to the sink.
 
 use super::node::LeaseNode;
 use crate::net::peers::{DatagramKind, Peers};
--- a/src/net/leases/mod.rs
+++ b/src/net/leases/mod.rs
@@ -1,7 +1,7 @@
 //! Leases on datagrams: the acceptor and the proposers of this limiter, and the tasks of a lease holder.
 //!
 //! Without a section `lease` in our own configuration file nothing here runs. `quartzcleat_lease` decides; this module
-//! carries messages and time to it and carries out what the holder of a lease is to do.
+//! carries messages and time to it, and carries out the tasks of a lease holder.
 
 mod clock;
 mod error;
--- a/src/net/leases/node.rs
+++ b/src/net/leases/node.rs
@@ -272,7 +272,8 @@
         .collect()
 }
 
-/// A number that differs between the processes of this limiter: of the time in microseconds and the process's identifier.
+/// A number that differs between the processes of this limiter: of the time in microseconds and the process's
+/// identifier.
 fn new_incarnation() -> u32 {
     (unix_time::now() >> 10) as u32 ^ std::process::id().rotate_left(16)
 }
--- a/src/net/leases/startup.rs
+++ b/src/net/leases/startup.rs
@@ -144,7 +144,7 @@
         spawn(release_at_shutdown(node, self.phases));
     }
 
-    /// The export of the first task that exports usage, which is the one that the spool was opened for.
+    /// The export of the first task that exports usage. The spool was opened for that task.
     fn export_task(&self, node: &Rc<LeaseNode>, peers: &Rc<Peers>) -> Option<Rc<ExportTask>> {
         let usage_recorder = self.usage_recorder.clone()?;
         let is_export = |task: &Task| matches!(task.action, TaskAction::ExportUsage { .. });
--- a/src/net/limiter.rs
+++ b/src/net/limiter.rs
@@ -176,8 +176,8 @@
         }
     }
 
-    /// Waits, for a bounded time, for the endpoint list and for the handoff of the other process of this limiter. A process
-    /// that took clients without them would reject requests that the other one still serves.
+    /// Waits, for a bounded time, for the endpoint list and for the handoff of the other process of this limiter. A
+    /// process that took clients without them would reject requests that the other one still serves.
     async fn catch_up(&self) {
         self.hot_restart.publish();
         let until = Instant::now() + self.limits.hot_restart.discovery_timeout;
@@ -195,8 +195,8 @@
         spawn(admin::accept(self.admin.clone(), listener));
     }
 
-    /// Waits until every connection is closed and every request answered. Requests that are still open shortly before the
-    /// process has to be gone are failed, so that none stays unanswered.
+    /// Waits until every connection is closed and every request answered. Requests that are still open shortly before
+    /// the process has to be gone are failed, so that none stays unanswered.
     async fn finish(&self) {
         let last = self
             .shutdown
--- a/src/net/metrics.rs
+++ b/src/net/metrics.rs
@@ -1,4 +1,4 @@
-//! Counts of what this limiter did since its last metrics line, and the line itself.
+//! Counts of this limiter's work since its last metrics line, and the line itself.
 //!
 //! The line is one structured log event, so that the lines of many limiters can be added up by second. It is off unless
 //! our own file asks for it, and no decision depends on it. [`metrics_log`](super::metrics_log) logs it at an interval.
@@ -167,12 +167,12 @@
         }
     }
 
-    /// Counts a connection to a host that came up.
+    /// Counts a connection to a host that was established.
     pub fn record_connect(&mut self, host: HostId) {
         self.hosts.entry(host).or_default().connected += 1;
     }
 
-    /// Counts a connection to a host that did not come up.
+    /// Counts a connection to a host that could not be established.
     pub fn record_connect_failure(&mut self, host: HostId) {
         self.hosts.entry(host).or_default().connect_failures += 1;
     }
@@ -182,7 +182,7 @@
         self.list_failures += 1;
     }
 
-    /// Logs the metrics and begins anew. `connections` are those that are up, by host.
+    /// Logs the metrics and begins anew. `connections` counts the established ones by host.
     pub fn log(
         &mut self,
         now: Nanos,
--- a/src/net/reload.rs
+++ b/src/net/reload.rs
@@ -1,8 +1,8 @@
 //! SIGHUP: the configuration is read again.
 //!
-//! The addresses and settings of a sound file are in force from then on. A faulty file changes nothing, and the log names
-//! all its faults. Limits that follow from the process's descriptors and memory stay until the next start, and so does the
-//! choice between polled and pushed discovery.
+//! The addresses and settings of a sound file are in force from then on. A faulty file changes nothing, and the log
+//! names all its faults. Limits that follow from the process's descriptors and memory stay until the next start, and so
+//! does the choice between polled and pushed discovery.
 
 use super::config::{self, Addresses, Config, ConfigError, Limits};
 use super::discovery::DiscoveryClient;
@@ -28,7 +28,7 @@
 
 /// The configuration in force.
 pub struct ActiveConfig {
-    /// The addresses of the services, for those who follow their changes.
+    /// The addresses of the services, for the tasks that follow their changes.
     addresses: watch::Sender<Addresses>,
     /// The file as it was read.
     file: RefCell<Value>,
--- a/src/net/reload/crossings.rs
+++ b/src/net/reload/crossings.rs
@@ -1,4 +1,5 @@
-//! Settings that change while requests are under way: nothing of the old ones outlives them under another's name or index.
+//! Settings that change while requests are under way: nothing of the old ones outlives them under another's name or
+//! index.
 
 use super::*;
 use crate::api::{HostId, Outcome, ReportSource};
@@ -34,8 +35,8 @@
         .expect("within the cap")
 }
 
-/// How long pooled connections are kept, and where hosts tell their load, follow the new file; requests under way end by
-/// it too.
+/// How long pooled connections are kept, and where hosts tell their load, follow the new file; requests under way end
+/// by it too.
 #[test]
 fn what_holds_for_hosts_follows_the_new_settings() {
     with_limiter(&[], |limiter| async move {
@@ -68,8 +69,8 @@
     });
 }
 
-/// Classes and plans in another order, and one under the other's name: each number goes on to stand for what it stood for,
-/// with its deadline and effect, and each name for what the new file says.
+/// Classes and plans in another order, and one under the other's name: each number goes on to stand for what it stood
+/// for, with its deadline and effect, and each name for what the new file says.
 #[test]
 fn a_file_in_another_order_moves_nothing_under_another_s_index() {
     with_limiter(&[], |limiter| async move {
--- a/src/net/resp/close.rs
+++ b/src/net/resp/close.rs
@@ -1,4 +1,4 @@
-//! The end of a connection: what has been received by then is seen, and what was written is not lost by the close.
+//! The end of a connection: bytes received by then are seen, and bytes written are not lost by the close.
 
 use nix::sys::socket::{recv, MsgFlags};
 use std::io;
@@ -11,7 +11,7 @@
 /// Bytes that are dropped at a time.
 const DROP_BYTES: usize = 4096;
 
-/// What a connection holds at this moment.
+/// The receive buffer of a socket at this moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SocketState {
     /// Nothing to read.
@@ -22,10 +22,10 @@
     Closed,
 }
 
-/// Reads what has been received, past the runtime.
+/// Reads the bytes received, past the runtime.
 ///
-/// The runtime's view of a socket is as old as its last poll of all of them: in between, a command may have arrived on a
-/// connection that is about to be closed, or the end of one about to be used.
+/// The runtime's view of a socket is as old as its last poll of all of them: in between, a command may have arrived on
+/// a connection that is about to be closed, or the end of one about to be used.
 pub fn read_now(stream: &TcpStream, buffer: &mut [u8]) -> SocketState {
     match recv(stream.as_raw_fd(), buffer, MsgFlags::MSG_DONTWAIT) {
         Ok(0) => SocketState::Closed,
@@ -37,11 +37,12 @@
     }
 }
 
-/// Closes a connection in order: nothing more is sent, and what is still received is dropped until the other side closes
-/// it too, for `linger` at most.
+/// Closes a connection in order: nothing more is sent, and bytes that are still received are dropped until the other
+/// side closes it too, for `linger` at most.
 ///
-/// A close over unread bytes resets the connection, and takes along what the other side has not read yet. What is received
-/// by now is answered by nobody: its sender learns by the end that it was not taken.
+/// A close over unread bytes resets the connection, and the other side loses the bytes that it has not read yet.
+/// Commands that are received by now get no answer: their sender learns from the end of the connection that they were
+/// not taken.
 pub async fn close_in_order(mut stream: TcpStream, linger: Duration) {
     if stream.shutdown().await.is_err() {
         return;
--- a/src/net/resp/codec/buffer.rs
+++ b/src/net/resp/codec/buffer.rs
@@ -20,8 +20,8 @@
     }
 }
 
-/// Removes the first bytes of a buffer. An empty buffer of more than twice `keep` bytes releases its memory, which a long
-/// message needed.
+/// Removes the first bytes of a buffer. An empty buffer of more than twice `keep` bytes releases its memory, which a
+/// long message needed.
 pub fn consume(buffer: &mut Vec<u8>, count: usize, keep: usize) {
     buffer.drain(..count);
     if buffer.is_empty() && buffer.capacity() > 2 * keep {
--- a/src/net/resp/codec/command.rs
+++ b/src/net/resp/codec/command.rs
@@ -15,7 +15,7 @@
     pub length: usize,
 }
 
-/// The command at the start of `bytes`; `None` where more bytes have to come.
+/// Parses the command at the start of `bytes`; `None` where it is incomplete.
 ///
 /// # Errors
 /// The bytes are malformed or exceed a limit.
--- a/src/net/resp/codec/cursor.rs
+++ b/src/net/resp/codec/cursor.rs
@@ -21,7 +21,7 @@
 /// Why there is no message at the start of the bytes received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ParseError {
-    /// More bytes have to come.
+    /// The bytes are the start of a message.
     Incomplete,
     /// The bytes can never become a message.
     Malformed(Malformed),
@@ -40,7 +40,7 @@
     }
 }
 
-/// The result of a parser: `None` where more bytes have to come.
+/// The result of a parser; `None` where the message is incomplete.
 ///
 /// # Errors
 /// The bytes are malformed.
--- a/src/net/resp/codec/reply.rs
+++ b/src/net/resp/codec/reply.rs
@@ -37,7 +37,7 @@
     pub length: usize,
 }
 
-/// The reply at the start of `bytes`; `None` where more bytes have to come.
+/// Parses the reply at the start of `bytes`; `None` where it is incomplete.
 ///
 /// # Errors
 /// The bytes are malformed or exceed a limit.
--- a/src/net/resp/downstream/closing.rs
+++ b/src/net/resp/downstream/closing.rs
@@ -8,16 +8,16 @@
 #[cfg(test)]
 mod tests;
 
-/// Whether a connection came within the limit on connections.
+/// Whether a connection was accepted within the limit on connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Admission {
     /// Its requests are served.
     Served,
-    /// It came past the limit: its requests are rejected, and it closes after its first responses.
+    /// It was accepted past the limit: its requests are rejected, and it closes after its first responses.
     Rejected,
 }
 
-/// How a connection came to its end.
+/// How a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConnectionEnd {
     /// The limiter closes it, with nothing of its responses unsent.
@@ -37,7 +37,7 @@
     CloseUnlessReceived,
 }
 
-/// What a connection has done and has still to do.
+/// The work that a connection has done and has still to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Progress {
     /// The bytes received and not parsed.
@@ -63,7 +63,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ClosePolicy {
     admission: Admission,
-    /// It came while clients are being drained.
+    /// It was accepted while clients are being drained.
     was_accepted_while_closing: bool,
 }
 
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Whether the connection came within the limit on connections.
+    /// Whether the connection was accepted within the limit on connections.
     pub(super) fn admission(&self) -> Admission {
         self.admission
     }
@@ -99,9 +99,9 @@
         }
     }
 
-    /// Whether the connection closes as soon as it is between requests: clients are being drained, or it came past the
-    /// limit. Commands that came together are all answered first. A connection that came while clients are being drained,
-    /// or past the limit, does not close before its first command.
+    /// Whether the connection closes as soon as it is between requests: clients are being drained, or it was accepted
+    /// past the limit. Commands that were received together are all answered first. A connection that was accepted
+    /// while clients are being drained, or past the limit, does not close before its first command.
     fn ends_between_requests(&self, progress: &Progress, is_closing: bool) -> bool {
         let is_drained = is_closing && (progress.has_responded || !self.was_accepted_while_closing);
         let is_rejected = self.admission == Admission::Rejected && progress.has_responded;
--- a/src/net/resp/downstream/connection.rs
+++ b/src/net/resp/downstream/connection.rs
@@ -47,7 +47,7 @@
     }
 }
 
-/// What happens next on a connection.
+/// The next step of a connection.
 enum Step {
     /// It ends.
     End(ConnectionEnd),
@@ -179,8 +179,8 @@
         }
     }
 
-    /// Hands a request in, or rejects it past a limit. Without the limit on pipelined requests the end of a client would
-    /// not be noticed behind commands that are not read.
+    /// Hands a request in, or rejects it past a limit. Without the limit on pipelined requests the end of a client
+    /// would not be noticed behind commands that are not read.
     fn handle_request(&self, request: Request) {
         let context = &self.downstream.context;
         let is_pipeline_full =
@@ -232,7 +232,7 @@
         }
     }
 
-    /// Waits until there is something to do, or the connection has come to its end.
+    /// Waits until there is something to do, or the connection has ended.
     async fn wait(&mut self) -> ControlFlow<ConnectionEnd> {
         const CONTINUE: ControlFlow<ConnectionEnd> = ControlFlow::Continue(());
         const LOST: ControlFlow<ConnectionEnd> = ControlFlow::Break(ConnectionEnd::Lost);
--- a/src/net/resp/downstream/idle_connections.rs
+++ b/src/net/resp/downstream/idle_connections.rs
@@ -1,4 +1,4 @@
-//! Which connections are idle, for how long they may be, and which of them is evicted first for another client.
+//! The idle connections: how long they may be idle, and the order in which they are evicted for other clients.
 
 use crate::net::config::Limits;
 use crate::net::resp::eviction::Eviction;
@@ -50,7 +50,7 @@
     }
 }
 
-/// What a connection does between two commands.
+/// The activity of a connection.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Activity {
     /// A response is pending.
@@ -73,7 +73,7 @@
 }
 
 impl IdleTimer {
-    /// The timer of a connection that has just come up.
+    /// The timer of a connection that was just accepted.
     pub fn new(idle_connections: Rc<IdleConnections>) -> Self {
         IdleTimer {
             idle_connections,
@@ -90,7 +90,7 @@
         self.is_new
     }
 
-    /// Records what the connection does now.
+    /// Records the connection's activity.
     pub fn update(&mut self, activity: Activity, is_new: bool, limits: &Limits) {
         if activity == self.activity && is_new == self.is_new {
             return;
@@ -120,7 +120,7 @@
     }
 
     /// Waits until the connection has been idle for too long, or is evicted. Without these bounds silent connections,
-    /// commands that never end and clients that never come again would hold the descriptors.
+    /// commands that never end and clients that never return would hold the descriptors.
     pub async fn expired(&self, limits: &Limits) {
         let allowed = match self.activity {
             Activity::Busy => return std::future::pending().await,
--- a/src/net/resp/downstream/input.rs
+++ b/src/net/resp/downstream/input.rs
@@ -1,4 +1,4 @@
-//! The input of a client connection: the bytes that are not parsed yet, and what may be read behind them.
+//! The input of a client connection: the bytes that are not parsed yet, and the reading of more.
 
 use crate::net::config::Limits;
 use crate::net::resp::close::{self, SocketState};
@@ -10,7 +10,7 @@
 /// Bytes that are read, or dropped, at a time past the parser.
 const READ_NOW_BYTES: usize = 4096;
 
-/// What may be read from a connection.
+/// How a connection is read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReadMode {
     /// Commands.
@@ -26,7 +26,7 @@
 pub(super) enum InputState {
     /// There are none.
     Empty,
-    /// They are a part of a command, or commands whose turn has not come.
+    /// They are a part of a command, or commands that wait until less is unsent.
     PartialCommand,
     /// They are malformed, or follow malformed bytes.
     Malformed,
@@ -96,8 +96,8 @@
         state
     }
 
-    /// Waits until bytes were received, or the client has gone. A client that goes is noticed also while nothing is read,
-    /// so that no request is forwarded long after its client left.
+    /// Waits until bytes were received, or the client has gone. The end of a client is noticed also while nothing is
+    /// read, so that no request is forwarded long after its client left.
     pub(super) async fn receive(&mut self, mode: ReadMode, limits: &Limits) -> ReceiveOutcome {
         match mode {
             ReadMode::Commands => self.receive_commands(limits).await,
--- a/src/net/resp/downstream/mod.rs
+++ b/src/net/resp/downstream/mod.rs
@@ -1,5 +1,5 @@
-//! Client connections. Commands of one connection are handled side by side; their responses go out in the order in which
-//! the commands came.
+//! Client connections. Commands of one connection are handled side by side; their responses are sent in the order of
+//! the commands.
 
 mod closing;
 mod connection;
--- a/src/net/resp/downstream/output.rs
+++ b/src/net/resp/downstream/output.rs
@@ -46,7 +46,7 @@
         self.written < self.bytes.len()
     }
 
-    /// Takes the responses whose turn it is.
+    /// Collects the responses that are ready.
     pub(super) fn collect(&mut self, responses: &ResponseQueue) -> CollectOutcome {
         let collected = responses.collect(&mut self.bytes);
         self.buffered_bytes += collected.buffered_bytes;
--- a/src/net/resp/downstream/request_catalog.rs
+++ b/src/net/resp/downstream/request_catalog.rs
@@ -1,4 +1,4 @@
-//! What a request may name and how much it may ask for, by the configuration in force.
+//! The classes, plans and quantities that a request may contain, by the configuration in force.
 
 use crate::api::{Class, Settings};
 use quartzcleat_admin::AcceptedIndices;
--- a/src/net/resp/downstream/request_parser.rs
+++ b/src/net/resp/downstream/request_parser.rs
@@ -1,7 +1,7 @@
-//! What a client's command asks for.
+//! The commands of clients.
 //!
-//! A request that no host could use, or that would count in a customer's name what the customer never asked for, gets no
-//! further: each fact that every request has must be there and within its range.
+//! A request is refused here where no host could use it, or where it would charge a customer for units that the
+//! customer did not request: each fact that every request has must be there and within its range.
 
 use super::request_catalog::{CatalogClass, RequestCatalog};
 use crate::api::{Class, CustomerId, Effect, RequestId};
@@ -25,11 +25,11 @@
 /// Flag of a request that was sent with `Q.DO`.
 const WRITE_FLAG: u64 = 4;
 
-/// What a client's command asks for.
+/// A command of a client.
 pub enum ClientCommand {
     /// A request for a host.
     Request(Box<Request>),
-    /// Whether the limiter serves.
+    /// A question whether the limiter serves.
     Ping,
     /// A setting of the connection that changes nothing here.
     ConnectionSetting,
@@ -116,10 +116,10 @@
     }
 }
 
-/// Parses a complete command; `bytes` are those that its ranges refer to. `accepts_clients`: the limiter is not draining.
+/// Parses a complete command; its ranges refer to `bytes`. `accepts_clients`: the limiter is not draining.
 ///
 /// # Errors
-/// The command is unknown or malformed, or names what the catalog does not contain.
+/// The command is unknown or malformed, or names a class or plan that the catalog does not contain.
 pub fn parse_client_command(
     bytes: &[u8],
     command: &Command,
--- a/src/net/resp/downstream/response_queue.rs
+++ b/src/net/resp/downstream/response_queue.rs
@@ -19,7 +19,7 @@
     Pending(RequestId),
     /// The bytes to be sent.
     Ready(Vec<u8>),
-    /// A long value: its head, until that has been collected, and what follows.
+    /// A long value: its head, until that has been collected, and the body behind it.
     Streaming {
         /// The head of the value.
         head: Vec<u8>,
@@ -130,13 +130,13 @@
         }
     }
 
-    /// Bytes that were buffered have been sent, or will never be.
+    /// Records that buffered bytes have been sent, or will never be.
     pub fn release(&self, bytes: usize) {
         let buffered = self.buffered_bytes.get();
         self.buffered_bytes.set(buffered - bytes);
     }
 
-    /// Moves the responses whose turn it is to `output`.
+    /// Moves the responses at the front of the queue to `output`, as far as they are ready.
     pub fn collect(&self, output: &mut Vec<u8>) -> Collected {
         let mut responses = self.responses.borrow_mut();
         let mut buffered_bytes = 0;
@@ -165,7 +165,7 @@
         }
     }
 
-    /// The long value whose turn it is.
+    /// The long value at the front of the queue.
     pub fn current_body(&self) -> Option<Rc<StreamingBody>> {
         match self.responses.borrow().front() {
             Some(Response::Streaming { body, .. }) => Some(body.clone()),
--- a/src/net/resp/upstream/call_codec.rs
+++ b/src/net/resp/upstream/call_codec.rs
@@ -33,7 +33,7 @@
     }
 }
 
-/// Interprets a reply to a command. `bytes` are those that the ranges in `reply` refer to.
+/// Interprets a reply to a command. The ranges in `reply` refer to `bytes`.
 pub fn interpret(
     reply: &Reply,
     bytes: &[u8],
@@ -99,8 +99,8 @@
     })
 }
 
-/// Whether the bytes received of a reply may yet become one to this command. Bytes that are well-formed so far and
-/// begin no such reply are not waited for.
+/// Whether the bytes received of a reply may yet become one to this command. For bytes that are well-formed so far
+/// and begin no such reply, the call ends at once.
 pub fn may_become_reply(input: &[u8], command: &HostCommand) -> bool {
     let expected: &[u8] = match command {
         HostCommand::HealthCheck => b"$",
@@ -158,8 +158,8 @@
     }
 }
 
-/// Appends the command of a call. The arguments are forwarded byte for byte, but for the wait, which becomes the remaining
-/// one.
+/// Appends the command of a call. The arguments are forwarded byte for byte, but for the wait, which becomes the
+/// remaining one.
 pub fn write_command(call: &HostCall, now: Instant, output: &mut Vec<u8>) {
     let HostCommand::Attempt { payload, .. } = &call.command else {
         return codec::write_command(&LOAD_COMMAND, output);
--- a/src/net/resp/upstream/mod.rs
+++ b/src/net/resp/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! Hosts: the connections to them, and what is written and read there.
+//! Hosts: the connections to them, and the commands and replies on these.
 
 mod call_codec;
 mod connection;
--- a/src/net/resp/upstream/pool.rs
+++ b/src/net/resp/upstream/pool.rs
@@ -161,8 +161,8 @@
         }
     }
 
-    /// Where a host listens; `None` once nothing may be sent there any more. A call may have been decided before the host
-    /// began to drain, and its connection come up long after.
+    /// Where a host listens; `None` once nothing may be sent there any more. A call may have been decided before the
+    /// host began to drain, and its connection be established long after.
     pub fn address(&self, id: HostId, limits: &Limits) -> Option<SocketAddr> {
         let hosts = self.hosts.borrow();
         let host = hosts.get(&id)?;
@@ -171,8 +171,8 @@
 
     /// Hands a call to the host's idle connection that was used last.
     ///
-    /// For a moment after an answer a connection takes no call: what still follows the answer, a copy of it above all,
-    /// would be taken for the answer to that call.
+    /// For a moment after an answer a connection takes no call: bytes that still follow the answer, a copy of it above
+    /// all, would be taken for the answer to that call.
     ///
     /// # Errors
     /// No idle connection leads to the host; the call is given back.
@@ -223,8 +223,8 @@
         }
     }
 
-    /// Permits one more connection. At the limit the connection that has been idle longest is closed for it; `None` where
-    /// none is idle.
+    /// Permits one more connection. At the limit the connection that has been idle longest is closed for it; `None`
+    /// where none is idle.
     pub fn acquire_permit(&self, id: HostId, limits: &Limits) -> Option<ConnectionPermit> {
         if self.connections.get() >= limits.upstream_connection_share() {
             match self.close_longest_idle() {
@@ -241,14 +241,14 @@
         Some(ConnectionPermit::new([self.connections.clone(), by_host]))
     }
 
-    /// Counts a connection that came up.
+    /// Counts a connection that was established.
     pub fn record_connect(&self, id: HostId) {
         if let Some(metrics) = &self.metrics {
             metrics.borrow_mut().record_connect(id);
         }
     }
 
-    /// Counts a connection that did not come up.
+    /// Counts a connection that could not be established.
     pub fn record_connect_failure(&self, id: HostId) {
         if let Some(metrics) = &self.metrics {
             metrics.borrow_mut().record_connect_failure(id);
--- a/src/net/shutdown.rs
+++ b/src/net/shutdown.rs
@@ -21,10 +21,10 @@
 
 pub use quartzcleat_admin::Phase;
 
-/// How long after a phase is due the step to it is taken.
+/// How long after the start of a phase the step to it is taken.
 const STEP_MARGIN: Duration = Duration::from_millis(1);
 
-/// The drain controller, its phase for those who wait for a change, and the number of client connections.
+/// The drain controller, its phase for the tasks that wait for a change, and the number of client connections.
 pub struct Shutdown {
     controller: RefCell<DrainController>,
     /// Notified of each order.
@@ -126,12 +126,12 @@
         Some(Duration::from_nanos(next_at.saturating_sub(now)))
     }
 
-    /// Goes through the phases for good.
+    /// Goes through the phases until the process ends.
     async fn follow_phases(self: Rc<Self>) {
         loop {
             match self.announce_phase() {
                 None => self.order_changed.notified().await,
-                // A step that comes before the phase is due would find nothing changed.
+                // A step before the start of the phase would find nothing changed.
                 Some(remaining) => {
                     let pause = remaining + STEP_MARGIN;
                     // Whether the time is over or there is an order, the next round looks at both.
--- a/src/net/stages/accept.rs
+++ b/src/net/stages/accept.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// Accepts a request. Past the limits of what the process holds it is rejected at once.
+/// Accepts a request. Past the limits on open requests and buffered bytes it is rejected at once.
 pub fn accept(
     pipeline: &Rc<Pipeline>,
     frontend: Rc<dyn Frontend>,
--- a/src/net/stages/admit.rs
+++ b/src/net/stages/admit.rs
@@ -1,4 +1,4 @@
-//! Second stage: the decision engine is told of the request and decides whether it is admitted.
+//! Second stage: the decision engine gets the request and decides whether it is admitted.
 
 use super::complete;
 use super::pipeline::Pipeline;
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use tokio::time::{sleep_until, Instant};
 
-/// Hands a request to the engine, and sees to it that it is answered whatever becomes of it.
+/// Hands a request to the engine, and fails it shortly before its deadline where it has no answer by then.
 pub fn admit(pipeline: &Rc<Pipeline>, request: Request, deadline: Instant) {
     let id = request.id;
     pipeline.engine.handle(Event::Request {
--- a/src/net/stages/attempt.rs
+++ b/src/net/stages/attempt.rs
@@ -28,8 +28,8 @@
     }
 }
 
-/// Runs a call on a connection and records its usage. A call that is cancelled or timed out leaves its answer unread, so
-/// its connection ends with it.
+/// Runs a call on a connection and records its usage. A call that is cancelled or timed out leaves its answer unread,
+/// so its connection ends with it.
 pub async fn run(
     pipeline: &Pipeline,
     connection: &mut UpstreamConnection,
@@ -151,7 +151,7 @@
     }
 }
 
-/// Parses the bytes received so far; `None` where more have to come.
+/// Parses the bytes received so far; `None` where the answer is incomplete.
 fn parse_answer(
     pipeline: &Pipeline,
     connection: &mut UpstreamConnection,
@@ -190,8 +190,8 @@
     }
 }
 
-/// Reads more of an answer. One that has begun and pauses for long is malformed, and may have run; without this bound it
-/// would be waited for until the request's deadline.
+/// Reads more of an answer. An answer that has begun and pauses for long is malformed, and its attempt may have run;
+/// without this bound the call would last until the request's deadline.
 async fn read_more(connection: &mut UpstreamConnection, limits: &Limits) -> Result<(), Outcome> {
     let has_begun = !connection.input.is_empty();
     let more = codec::read_more(
--- a/src/net/stages/call_end.rs
+++ b/src/net/stages/call_end.rs
@@ -3,7 +3,7 @@
 use crate::api::Outcome;
 use crate::net::engine::CallResult;
 
-/// How a call ended, and what that means for its connection.
+/// How a call ended, and whether its connection can be used again.
 pub struct CallEnd {
     /// How the call ended.
     pub result: CallResult,
--- a/src/net/stages/complete.rs
+++ b/src/net/stages/complete.rs
@@ -32,7 +32,7 @@
     }
 }
 
-/// The client of a request has gone: no answer is due any more.
+/// Closes a request whose client has gone, without an answer.
 pub fn abandon(pipeline: &Pipeline, id: RequestId) {
     let open = pipeline.engine.close_request(id).is_some();
     tracing::debug!(
--- a/src/net/stages/dispatch.rs
+++ b/src/net/stages/dispatch.rs
@@ -1,4 +1,4 @@
-//! Fourth stage: a call gets a connection, the host's idle one that was used last or a new one.
+//! Fourth stage: a call gets a connection, the idle one to its host that was used last or a new one.
 
 use super::call_end::CallEnd;
 use super::pipeline::Pipeline;
@@ -56,7 +56,8 @@
     };
     loop {
         let CallEnd { result, reusable } = attempt::run(&pipeline, &mut connection, &call).await;
-        // The connection is idle already when the engine is told, so that what the engine sends next finds it.
+        // The connection is idle before the engine handles the end of the call, so that the engine's next call finds
+        // it.
         let idle_place = if reusable {
             pipeline.upstream.add_idle(call.host, connection.peer)
         } else {
--- a/src/net/stages/pipeline.rs
+++ b/src/net/stages/pipeline.rs
@@ -29,7 +29,7 @@
 }
 
 impl Pipeline {
-    /// A pipeline that carries out what the engine orders.
+    /// A pipeline that carries out the actions that the engine orders.
     pub fn new(
         limits: &Rc<Limits>,
         engine: &Rc<EngineDriver>,
--- a/src/net/streaming_body.rs
+++ b/src/net/streaming_body.rs
@@ -9,29 +9,29 @@
 #[cfg(test)]
 mod tests;
 
-/// How far the writer has come.
+/// The state of the writer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum WriterState {
     /// More will be written.
     Writing,
     /// All of the value has been written.
     Complete,
-    /// The rest will not come.
+    /// The remaining bytes will never be written.
     Failed,
 }
 
-/// What a read leads to.
+/// The outcome of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadOutcome {
-    /// All that is in the buffer was read, and more will come.
+    /// The whole buffer was read, and more will be written.
     MoreToCome,
     /// The value has been read to its end.
     Complete,
-    /// The rest will never come.
+    /// The remaining bytes will never be written.
     Failed,
 }
 
-/// A value, and what of it is between its host and its client.
+/// A value, and the part of it that is on its way between its host and its client.
 #[derive(Debug)]
 pub struct StreamingBody {
     length: usize,
@@ -88,12 +88,12 @@
         self.filled.notify_one();
     }
 
-    /// The value has been written to its end.
+    /// Records that the value has been written to its end.
     pub fn complete(&self) {
         self.end(WriterState::Complete);
     }
 
-    /// The rest of the value will never come.
+    /// Records that the remaining bytes of the value will never be written.
     pub fn fail(&self) {
         self.end(WriterState::Failed);
     }
@@ -105,7 +105,7 @@
         }
     }
 
-    /// The client has gone.
+    /// Records that the client has gone.
     pub fn abandon(&self) {
         self.is_abandoned.set(true);
         self.drained.notify_one();
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Moves what is in the buffer to `output`, as long as that holds no more than the capacity.
+    /// Moves bytes from the buffer to `output`, which then holds the capacity at most.
     pub fn read(&self, output: &mut Vec<u8>) -> ReadOutcome {
         let mut bytes = self.bytes.borrow_mut();
         let count = bytes.len().min(self.capacity.saturating_sub(output.len()));
--- a/src/net/usage_export/exporter.rs
+++ b/src/net/usage_export/exporter.rs
@@ -1,4 +1,4 @@
-//! The exporter: what the lease holder of the export writes to the sink.
+//! The exporter: the lease holder's writes to the sink.
 
 use super::append_file::AppendFile;
 use super::{read_sink, UsageRecorder, SINK_EXTENSION};
@@ -14,7 +14,7 @@
 /// Why a batch was not written.
 #[derive(Debug, Error)]
 pub enum ExportError {
-    /// The operation belongs to another tenure than the one that was begun.
+    /// The operation belongs to another tenure.
     #[error("the lease has changed hands")]
     TenureEnded,
     /// The sink cannot be written.
@@ -72,8 +72,8 @@
 
     /// Writes a batch, unless the sink has it.
     ///
-    /// The operation shows that the lease is held. Should it expire meanwhile, the files of two tenures may contain the batch;
-    /// it counts once.
+    /// The operation shows that the lease is held. Should it expire meanwhile, the files of two tenures may contain the
+    /// batch; it counts once.
     ///
     /// # Errors
     /// Where the sink cannot be written, or the operation belongs to another tenure.
--- a/src/net/usage_export/mod.rs
+++ b/src/net/usage_export/mod.rs
@@ -1,9 +1,9 @@
 //! Usage export on files: the spools of this limiter, and the sink that all limiters share.
 //!
-//! Every limiter keeps a spool in a folder of its own ([`UsageRecorder`]). The lease holder of the export fetches batches
-//! from all limiters and appends them to its tenure's file in the sink ([`Exporter`]). `quartzcleat_usage_export` defines
-//! the lines that are written and their order, so that a process may end between any two steps without a batch being lost or
-//! counted twice.
+//! Every limiter keeps a spool in a folder of its own ([`UsageRecorder`]). The lease holder of the export fetches
+//! batches from all limiters and appends them to its tenure's file in the sink ([`Exporter`]).
+//! `quartzcleat_usage_export` defines the lines that are written and their order, so that a process may end between any
+//! two steps without a batch being lost or counted twice.
 
 mod append_file;
 mod exporter;
--- a/src/net/usage_export/recorder.rs
+++ b/src/net/usage_export/recorder.rs
@@ -1,4 +1,4 @@
-//! The usage recorder: the spool of this process, and those that earlier processes of this limiter have left behind.
+//! The usage recorder: the spool of this process, and the spools of earlier processes of this limiter.
 
 use super::append_file::AppendFile;
 use super::{has_extension, SPOOL_EXTENSION};
@@ -106,7 +106,7 @@
 }
 
 impl UsageRecorder {
-    /// Creates a spool for this process in a folder, and adopts those that earlier processes have left there.
+    /// Creates a spool for this process in a folder, and adopts the spools of earlier processes there.
     ///
     /// # Errors
     /// Where the folder or the spool cannot be written.
@@ -204,7 +204,7 @@
         self.own.compact();
     }
 
-    /// The first batch that is not known to be in the sink; those of earlier processes come first.
+    /// The first batch that is not known to be in the sink. Batches of earlier processes precede the own ones.
     pub fn first_pending_batch(&self) -> Option<SinkRecord> {
         let adopted = self.adopted.borrow();
         let first = self
@@ -213,8 +213,8 @@
         first
     }
 
-    /// Records that the sink has a spool's batches up to a sequence number. An adopted spool is removed once the sink has
-    /// everything of it.
+    /// Records that the sink has a spool's batches up to a sequence number. An adopted spool is removed once the sink
+    /// has everything of it.
     pub fn acknowledge(&self, epoch: u64, sequence: u64) {
         self.crash_if_scheduled(CrashPoint::AcknowledgementReceived);
         let mut adopted = self.adopted.borrow_mut();
