--- a/src/net/admin/mod.rs
+++ b/src/net/admin/mod.rs
@@ -1,4 +1,5 @@
-//! The admin interface: HTTP/1.1, one request to a connection, for on-call staff and what starts the process.
+//! The admin interface: HTTP/1.1, one request to a connection, for operators and for the program that starts the
+//! process.
 //!
 //! Requests are parsed by `quartzcleat-admin`, and carried out here.
 
@@ -10,8 +11,9 @@
 use super::config::Limits;
 use super::discovery::DiscoveryClient;
 use super::hot_restart::HotRestart;
-use super::shutdown::{unix, Shutdown};
-use quartzcleat_admin::{AdminRequest, RequestError, UnknownHost};
+use super::shutdown::Shutdown;
+use super::unix_time;
+use quartzcleat_admin::{AdminRequest, MaintenanceChange, RequestError, UnknownHost};
 use std::collections::VecDeque;
 use std::rc::Rc;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -19,16 +21,33 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, timeout};
 
-/// What requests to the admin interface read and change.
+/// The parts that requests to the admin interface read and change.
 pub struct AdminContext {
     /// Sizes, counts and times.
-    pub limits: Rc<Limits>,
+    limits: Rc<Limits>,
     /// Puts hosts into maintenance, and knows which were ever listed.
-    pub discovery: Rc<DiscoveryClient>,
+    discovery: Rc<DiscoveryClient>,
     /// Drains the clients.
-    pub shutdown: Rc<Shutdown>,
-    /// Is told of each change.
-    pub hot_restart: Rc<HotRestart>,
+    shutdown: Rc<Shutdown>,
+    /// Publishes each change to the other process of this limiter.
+    hot_restart: Rc<HotRestart>,
+}
+
+impl AdminContext {
+    /// The context of a limiter's admin interface.
+    pub fn new(
+        limits: &Rc<Limits>,
+        discovery: &Rc<DiscoveryClient>,
+        shutdown: &Rc<Shutdown>,
+        hot_restart: &Rc<HotRestart>,
+    ) -> Self {
+        AdminContext {
+            limits: limits.clone(),
+            discovery: discovery.clone(),
+            shutdown: shutdown.clone(),
+            hot_restart: hot_restart.clone(),
+        }
+    }
 }
 
 /// The answer to a request.
@@ -51,7 +70,7 @@
 
 impl From<RequestError> for Response {
     fn from(error: RequestError) -> Self {
-        Response::new(error.status, error.advice)
+        Response::new(error.status(), error.to_string())
     }
 }
 
@@ -81,7 +100,7 @@
     let caller_time = context.limits.admin.request_timeout;
     let request = read_request(&mut stream, context.limits.admin.max_request_bytes);
     let response = match timeout(caller_time, request).await {
-        Err(_) => Response::new(408, "the call did not end in time; send it at once"),
+        Err(_) => RequestError::Timeout.into(),
         // The caller has gone, or never sent a whole request.
         Ok(None) => return,
         Ok(Some(Err(error))) => error.into(),
@@ -111,7 +130,7 @@
     }
 }
 
-/// Writes the response and ends the connection. What of the request was left unread is read first: it would reset the
+/// Writes the response and ends the connection. Unread bytes of the request are read first: they would reset the
 /// connection, and the reset could overtake the response.
 async fn respond(stream: &mut TcpStream, response: &str) {
     // A caller that has gone needs no response.
@@ -121,8 +140,8 @@
     while stream.read(&mut unread).await.is_ok_and(|count| count > 0) {}
 }
 
-/// Waits for discovery's first list where a request names a host that is not known yet: staff may be quicker than the
-/// list, and a host on it was listed.
+/// Waits for discovery's first list where a request names a host that is not known yet: an operator may be quicker than
+/// the list, and a host on it was listed.
 async fn wait_for_first_list(context: &AdminContext, request: &AdminRequest) {
     let (AdminRequest::Disable(name) | AdminRequest::Enable(name)) = request else {
         return;
@@ -135,7 +154,7 @@
             sleep(context.limits.requests.deadline_margin).await;
         }
     };
-    // Past the time the request is answered with what is known.
+    // Past the time the request is answered by the hosts listed so far.
     let _ = timeout(context.limits.admin.first_list_timeout, wait).await;
 }
 
@@ -171,39 +190,39 @@
 }
 
 fn disable(context: &AdminContext, name: &str) -> Response {
+    let now = unix_time::now();
     let disabled = context
         .discovery
         .maintenance()
         .borrow_mut()
-        .disable(name, unix());
+        .disable(name, now);
     match disabled {
-        Err(UnknownHost) => unknown_host(context),
-        Ok(has_changed) => {
-            if has_changed {
-                tracing::info!(host = name, "maintenance started by an operator");
-                announce_maintenance(context, name);
-            }
-            Response::new(200, format!("{name} gets nothing new until it is enabled"))
+        Err(UnknownHost) => return unknown_host(context),
+        Ok(MaintenanceChange::Unchanged) => {}
+        Ok(MaintenanceChange::Changed) => {
+            tracing::info!(host = name, "maintenance started by an operator");
+            announce_maintenance(context, name);
         }
     }
+    Response::new(200, format!("{name} gets nothing new until it is enabled"))
 }
 
 fn enable(context: &AdminContext, name: &str) -> Response {
+    let now = unix_time::now();
     let enabled = context
         .discovery
         .maintenance()
         .borrow_mut()
-        .enable(name, unix());
+        .enable(name, now);
     match enabled {
-        Err(UnknownHost) => unknown_host(context),
-        Ok(has_changed) => {
-            if has_changed {
-                tracing::info!(host = name, "maintenance ended by an operator");
-                announce_maintenance(context, name);
-            }
-            Response::new(200, format!("{name} may serve"))
+        Err(UnknownHost) => return unknown_host(context),
+        Ok(MaintenanceChange::Unchanged) => {}
+        Ok(MaintenanceChange::Changed) => {
+            tracing::info!(host = name, "maintenance ended by an operator");
+            announce_maintenance(context, name);
         }
     }
+    Response::new(200, format!("{name} may serve"))
 }
 
 fn announce_maintenance(context: &AdminContext, name: &str) {
--- a/src/net/hot_restart/mod.rs
+++ b/src/net/hot_restart/mod.rs
@@ -2,40 +2,38 @@
 //!
 //! Each process with an admin interface publishes a [`SharedState`], and looks for those of other processes at short
 //! intervals. The later order on each matter holds for both, also after the process that received it has ended. To a
-//! process that is about to accept clients, the one before it hands over its endpoint list and what its engine learned.
+//! process that is about to accept clients, the one before it hands over its endpoint list and a snapshot of its
+//! engine.
 
 pub mod listener_handover;
+mod local_process;
 mod shared_folder;
 
+pub use local_process::LocalProcess;
+
 use self::shared_folder::SharedFolder;
 use super::config::Limits;
 use super::discovery::DiscoveryClient;
 use super::engine::EngineDriver;
-use super::shutdown::{unix, Shutdown};
+use super::shutdown::Shutdown;
 use super::task::spawn;
 use crate::api::{Event, Nanos, ZoneId};
-use quartzcleat_admin::{DrainOrder, Handoff, LimiterIdentity, SharedState, FORMAT_VERSION};
+use quartzcleat_admin::{DrainOrder, Handoff, SharedState, Successor, FORMAT_VERSION};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
-use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::time::sleep;
 
-/// Owns what is known of the other process, and of what was published.
+/// The state that this process shares with the other process of its limiter.
 pub struct HotRestart {
     limits: Rc<Limits>,
     engine: Rc<EngineDriver>,
     discovery: Rc<DiscoveryClient>,
     shutdown: Rc<Shutdown>,
-    name: String,
-    listen: String,
-    /// When this process started, in Unix time.
-    started_at: Nanos,
-    /// `None` where there is no admin interface, and so no other process.
-    folder: Option<SharedFolder>,
+    process: LocalProcess,
     /// This process accepts clients.
     is_serving: Cell<bool>,
-    /// What was published last.
+    /// The state that was published last.
     published: Cell<Option<PublishedState>>,
     /// Processes that have ended, whose files are removed once their orders are published by this one.
     ended: RefCell<Vec<String>>,
@@ -47,7 +45,16 @@
     successors: RefCell<HashSet<String>>,
 }
 
-/// What the published state depends on.
+/// Whether a handoff of another process is still awaited.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum HandoffStatus {
+    /// It was taken, or there is no other process.
+    Done,
+    /// It has not been written yet.
+    Awaited,
+}
+
+/// The values that the published state depends on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct PublishedState {
     maintenance_revision: u64,
@@ -55,32 +62,21 @@
     is_serving: bool,
 }
 
-/// The parts of a limiter that two of its processes share the state of.
-pub struct HotRestartParts {
-    /// Sizes, counts and times.
-    pub limits: Rc<Limits>,
-    /// Hands over what it has learned.
-    pub engine: Rc<EngineDriver>,
-    /// Hands over its endpoint list; maintenance of either process holds for both.
-    pub discovery: Rc<DiscoveryClient>,
-    /// Draining of either process holds for both.
-    pub shutdown: Rc<Shutdown>,
-}
-
 impl HotRestart {
-    /// Nothing is known of another process. `has_admin`: this process has an admin interface; without one there is no
-    /// other process.
-    pub fn new(parts: HotRestartParts, name: &str, listen: SocketAddr, has_admin: bool) -> Self {
-        let started_at = unix();
+    /// A process that has not looked for others yet.
+    pub fn new(
+        limits: &Rc<Limits>,
+        engine: &Rc<EngineDriver>,
+        discovery: &Rc<DiscoveryClient>,
+        shutdown: &Rc<Shutdown>,
+        process: LocalProcess,
+    ) -> Self {
         HotRestart {
-            limits: parts.limits,
-            engine: parts.engine,
-            discovery: parts.discovery,
-            shutdown: parts.shutdown,
-            name: name.to_owned(),
-            listen: listen.to_string(),
-            started_at,
-            folder: has_admin.then(|| SharedFolder::new(started_at)),
+            limits: limits.clone(),
+            engine: engine.clone(),
+            discovery: discovery.clone(),
+            shutdown: shutdown.clone(),
+            process,
             is_serving: Cell::default(),
             published: Cell::default(),
             ended: RefCell::default(),
@@ -91,25 +87,19 @@
     }
 
     /// Whether another process of this limiter accepts clients.
-    pub fn other_serves(&self) -> bool {
+    pub fn is_other_serving(&self) -> bool {
         self.other_serving_since.get().is_some()
     }
 
-    /// Whether a later process of this limiter accepts the clients that come.
-    pub fn successor_serves(&self) -> bool {
-        self.other_serving_since
-            .get()
-            .is_some_and(|started_at| started_at > self.started_at)
-    }
-
-    fn identity(&self) -> LimiterIdentity<'_> {
-        LimiterIdentity {
-            name: &self.name,
-            listen: &self.listen,
+    /// Whether a later process of this limiter accepts the clients.
+    pub fn successor(&self) -> Successor {
+        match self.other_serving_since.get() {
+            Some(started_at) if started_at > self.process.started_at => Successor::Serving,
+            _ => Successor::None,
         }
     }
 
-    /// Publishes at short intervals from now on that this process accepts clients, and looks for other processes.
+    /// Publishes from now on that this process accepts clients, and looks for other processes at short intervals.
     pub fn start_serving(self: &Rc<Self>) {
         self.is_serving.set(true);
         self.publish();
@@ -125,7 +115,7 @@
 
     /// Publishes the state of this process, if it has changed.
     pub fn publish(&self) {
-        let Some(folder) = &self.folder else {
+        let Some(folder) = &self.process.folder else {
             return;
         };
         let current = PublishedState {
@@ -150,9 +140,9 @@
         let maintenance = self.discovery.maintenance().borrow();
         SharedState {
             version: FORMAT_VERSION,
-            name: self.name.clone(),
-            listen: self.listen.clone(),
-            started_at: self.started_at,
+            name: self.process.name.clone(),
+            listen: self.process.listen.clone(),
+            started_at: self.process.started_at,
             is_serving: self.is_serving.get(),
             drain: self.shutdown.drain_order(),
             maintenance: maintenance.orders().clone(),
@@ -160,9 +150,10 @@
         }
     }
 
-    /// Takes in what other processes of this limiter published; the orders of one that has ended hold too.
+    /// Reads the states that other processes of this limiter published. The orders of a process that has ended hold
+    /// too.
     pub fn look(&self) {
-        let Some(folder) = &self.folder else {
+        let Some(folder) = &self.process.folder else {
             return;
         };
         let Ok(processes) = folder.other_processes() else {
@@ -182,10 +173,10 @@
         }
     }
 
-    /// Takes in what one process published; returns when it started, if it lives and accepts clients.
+    /// Reads the state that one process published; returns when that process started, if it lives and accepts clients.
     fn look_at(&self, folder: &SharedFolder, process: &str) -> Option<Nanos> {
         let text = folder.read_state(process).ok()?;
-        let state = match SharedState::from_text(&text, self.identity()) {
+        let state = match SharedState::from_text(&text, self.process.identity()) {
             Ok(state) => state,
             Err(error) => {
                 let seen = self.seen.borrow_mut().insert(process.to_owned(), text);
@@ -196,7 +187,7 @@
             }
         };
         let is_alive = folder.is_alive(process);
-        let is_successor = !state.is_serving && state.started_at > self.started_at;
+        let is_successor = !state.is_serving && state.started_at > self.process.started_at;
         if is_alive && is_successor && self.is_serving.get() {
             self.hand_over(folder, process);
         }
@@ -230,14 +221,14 @@
         self.shutdown.merge_drain_order(state.drain);
     }
 
-    /// Hands over what this process knows to a later one that is about to accept clients, once.
+    /// Hands over the endpoint list and the engine's snapshot to a later process that is about to accept clients, once.
     fn hand_over(&self, folder: &SharedFolder, successor: &str) {
         if !self.successors.borrow_mut().insert(successor.to_owned()) {
             return;
         }
         let endpoints = self.discovery.endpoints().borrow();
         let handoff = Handoff::new(
-            self.identity(),
+            self.process.identity(),
             endpoints.zones().to_vec(),
             endpoints.to_json(),
             self.engine.snapshot(),
@@ -248,19 +239,19 @@
         }
     }
 
-    /// Takes what another process handed over; returns whether nothing more is to be waited for.
-    pub fn take_handoff(&self) -> bool {
-        let Some(folder) = &self.folder else {
-            return true;
+    /// Takes the handoff of another process, if it was written.
+    pub fn take_handoff(&self) -> HandoffStatus {
+        let Some(folder) = &self.process.folder else {
+            return HandoffStatus::Done;
         };
         let Some(text) = folder.take_handoff() else {
-            return false;
+            return HandoffStatus::Awaited;
         };
-        match Handoff::from_text(&text, self.identity()) {
+        match Handoff::from_text(&text, self.process.identity()) {
             Ok(handoff) => self.apply_handoff(handoff),
             Err(error) => tracing::warn!(%error, "handoff ignored"),
         }
-        true
+        HandoffStatus::Done
     }
 
     fn apply_handoff(&self, handoff: Handoff) {
--- a/src/net/resp/downstream/idle_connections.rs
+++ b/src/net/resp/downstream/idle_connections.rs
@@ -1,6 +1,7 @@
-//! Which connections are idle, for how long they may be, and which of them is evicted first for another client.
+//! The idle connections: how long they may be idle, and the order in which they are evicted for other clients.
 
 use crate::net::config::Limits;
+use crate::net::resp::eviction::Eviction;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -36,23 +37,23 @@
         self.waiting.borrow_mut().remove(&place);
     }
 
-    /// Evicts the first connection; false where none waits.
-    pub fn evict_first(&self) -> bool {
+    /// Evicts the first connection.
+    pub fn evict_first(&self) -> Eviction {
         let first = self.waiting.borrow_mut().pop_first();
         match first {
             Some((_, evicted)) => {
                 evicted.notify_one();
-                true
+                Eviction::Evicted
             }
-            None => false,
+            None => Eviction::NoneIdle,
         }
     }
 }
 
-/// What a connection does between two commands.
+/// The activity of a connection.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Activity {
-    /// A response is due.
+    /// A response is pending.
     Busy,
     /// Nothing of the next command has been received.
     Idle,
@@ -60,7 +61,7 @@
     PartialCommand,
 }
 
-/// How long one connection has been doing what it does.
+/// How long one connection has been idle, or in the middle of a command.
 pub struct IdleTimer {
     idle_connections: Rc<IdleConnections>,
     activity: Activity,
@@ -72,7 +73,7 @@
 }
 
 impl IdleTimer {
-    /// The timer of a connection that has just come up.
+    /// The timer of a connection that was just accepted.
     pub fn new(idle_connections: Rc<IdleConnections>) -> Self {
         IdleTimer {
             idle_connections,
@@ -89,12 +90,12 @@
         self.is_new
     }
 
-    /// Takes what the connection does now.
+    /// Records the connection's activity.
     pub fn update(&mut self, activity: Activity, is_new: bool, limits: &Limits) {
         if activity == self.activity && is_new == self.is_new {
             return;
         }
-        // The time of a new connection runs from its start, whatever it sends.
+        // The time of a new connection runs from its start, also once a part of a command was received.
         if !is_new {
             self.since = Instant::now();
         }
@@ -119,7 +120,7 @@
     }
 
     /// Waits until the connection has been idle for too long, or is evicted. Without these bounds silent connections,
-    /// commands that never end and clients that never come again would hold the descriptors.
+    /// commands that never end and clients that never return would hold the descriptors.
     pub async fn expired(&self, limits: &Limits) {
         let allowed = match self.activity {
             Activity::Busy => return std::future::pending().await,
--- a/src/net/stages/complete/tests.rs
+++ b/src/net/stages/complete/tests.rs
@@ -3,6 +3,7 @@
 use super::*;
 
 use crate::net::engine::tests::{attempt_order, reply_to, request, RecordingFrontend};
+use crate::net::engine::UsageFigures;
 use crate::net::tests::{next, with_limiter};
 use tokio::time::Instant;
 
@@ -37,7 +38,10 @@
         };
         complete(pipeline, &second, result);
         give_up(pipeline, RequestId(1));
-        assert!(!answer(pipeline, RequestId(1), Answer::Failed));
+        assert_eq!(
+            answer(pipeline, RequestId(1), Answer::Failed),
+            Delivery::RequestClosed
+        );
         assert_eq!(*frontend.0.borrow(), [(9, Answer::Served(b"bed".to_vec()))]);
         for (number, expected) in [(0, (37, 2.5)), (1, (0, 0.0))] {
             let event = next(&limiter).await;
