--- /dev/null
+++ b/tests/golden/admin.rs
@@ -0,0 +1,129 @@
+//! The admin interface's whole responses: body, headers and status, also for calls that are late, too long or too early.
+
+use crate::assert_golden;
+use crate::process::{request, start, start_process, Limiter, Services, HOLD};
+use std::io::{Read, Write};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::time::{Duration, Instant};
+
+const READ_TIMEOUT: Duration = Duration::from_secs(20);
+const READY: &str = "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n";
+/// More than a head or a body may have.
+const TOO_LONG_BYTES: usize = 9 << 10;
+
+/// Sends bytes, and returns all that is received until the connection ends.
+fn exchange(console: SocketAddr, bytes: &str) -> String {
+    let mut stream = TcpStream::connect(console).expect("the console listens");
+    stream
+        .set_read_timeout(Some(READ_TIMEOUT))
+        .expect("a time-out is set");
+    stream
+        .write_all(bytes.as_bytes())
+        .expect("the console reads");
+    let mut response = String::new();
+    stream
+        .read_to_string(&mut response)
+        .expect("the console answers");
+    response
+}
+
+fn record(name: &str, response: &str) -> String {
+    format!("{name}: {}\n", response.escape_debug())
+}
+
+fn put(path: &str, body: &str) -> String {
+    let length = body.len();
+    format!("PUT {path} HTTP/1.1\r\nHost: x\r\nContent-Length: {length}\r\n\r\n{body}")
+}
+
+#[test]
+fn responses_are_these_bytes() {
+    let limiter = start(231, false, |text| text);
+    let mut transcript = String::new();
+    for (name, call) in [
+        ("ready", READY.to_owned()),
+        ("disable", put("/servers/disable", r#"{"host":"toy-0"}"#)),
+        ("enable", put("/servers/enable", r#"{"host":"toy-0"}"#)),
+        ("unknown host", put("/servers/disable", r#"{"host":"x"}"#)),
+        ("no path", put("/x", "")),
+        ("no such method", put("/ready", "")),
+        ("no JSON", put("/servers/disable", "{")),
+        ("no host", put("/servers/disable", "{}")),
+        ("no HTTP", "PING\r\n\r\n".to_owned()),
+        (
+            "chunked",
+            "PUT /drain HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n".to_owned(),
+        ),
+        (
+            "no length",
+            "PUT /drain HTTP/1.1\r\nContent-Length: x\r\n\r\n".to_owned(),
+        ),
+        ("drain", put("/drain", "")),
+        ("draining", READY.to_owned()),
+        ("undrain", put("/undrain", "")),
+    ] {
+        transcript += &record(name, &exchange(limiter.console, &call));
+    }
+    assert_golden("wire-admin-responses.txt", &transcript);
+}
+
+#[test]
+fn a_call_that_is_too_long_gets_413() {
+    let limiter = start(232, false, |text| text);
+    let endless_head = format!(
+        "GET /ready HTTP/1.1\r\nHost: {}",
+        "x".repeat(TOO_LONG_BYTES)
+    );
+    let long_body = format!("PUT /drain HTTP/1.1\r\nContent-Length: {TOO_LONG_BYTES}\r\n\r\n");
+    let transcript = record("head", &exchange(limiter.console, &endless_head))
+        + &record("body", &exchange(limiter.console, &long_body));
+    assert_golden("wire-admin-413.txt", &transcript);
+}
+
+#[test]
+fn a_call_that_never_ends_gets_408() {
+    let limiter = start(233, false, |text| text);
+    let response = exchange(limiter.console, "GET /ready HTTP/1.1\r\n");
+    assert_golden("wire-admin-408.txt", &record("half a head", &response));
+}
+
+/// A host cannot be told to be unknown before discovery has answered.
+#[test]
+fn a_call_on_a_host_before_the_first_list_gets_503() {
+    let silent = TcpListener::bind("127.0.0.1:0").expect("a port is free");
+    let address = silent.local_addr().expect("it has an address");
+    let services = Services {
+        discovery: address,
+        counter: address,
+    };
+    let limiter = start_process(234, services, |text| text);
+    drop(limiter.connect());
+    let response = exchange(limiter.console, &put("/servers/disable", r#"{"host":"x"}"#));
+    assert_golden("wire-admin-503.txt", &record("no list yet", &response));
+}
+
+/// After SIGTERM the process is ready until connections are closed; then it says that it ends.
+#[test]
+fn a_limiter_that_ends_gives_503() {
+    let limiter = start(235, false, |text| text);
+    let mut client = limiter.connect();
+    let facts = HOLD.replace("d=900", "d=3500");
+    client
+        .write_all(request("Q.DO", 1, &facts, "silent").as_bytes())
+        .expect("the limiter reads");
+    limiter.signal("TERM");
+    let response = wait_until_not_ready(&limiter);
+    assert_golden("wire-admin-ending.txt", &record("ending", &response));
+}
+
+/// The first response that is not 200.
+fn wait_until_not_ready(limiter: &Limiter) -> String {
+    let began = Instant::now();
+    loop {
+        let response = exchange(limiter.console, READY);
+        if !response.starts_with("HTTP/1.1 200 ") {
+            return response;
+        }
+        assert!(began.elapsed() < READ_TIMEOUT, "still ready: {response}");
+    }
+}
--- a/tests/golden/main.rs
+++ b/tests/golden/main.rs
@@ -1,13 +1,20 @@
 //! Golden tests: what the programs read and write, byte for byte, seen from outside only.
 //!
-//! `wire-*` files under `data/` hold protocols, keys, flags and codes, which never change. `messages-*` files hold
-//! texts for people. `GOLDEN_WRITE=1 cargo test --test golden` writes the files anew from the present output.
+//! `wire-*` files under `data/` hold protocols, keys, flags and codes, and `stored-*` files hold the form of stored data:
+//! neither ever changes. `messages-*` files hold texts for people. `GOLDEN_WRITE=1 cargo test --test golden` writes the files anew from the present output.
 
+mod admin;
 mod command_line;
 mod configuration;
 mod expectations;
+mod handoff;
 mod limiter;
+mod quota_window;
+mod recorder;
+mod rejections;
+mod services;
 mod simulator;
+mod start_errors;
 
 #[path = "../process/mod.rs"]
 mod process;
--- /dev/null
+++ b/tests/golden/services.rs
@@ -0,0 +1,205 @@
+//! The bytes that a limiter sends to hosts, the counter and discovery.
+//!
+//! What depends on the clock stands as a name in angle brackets: the remaining wait of a request, the index of a
+//! counter's window, and the time for which the counter keeps it. Lengths in front of them are those of the name.
+
+use crate::assert_golden;
+use crate::process::{ask, request, start_process, Limiter, Services, CHECK, HOLD};
+use crate::quota_window::{with_long_window, within_one_window};
+use crate::recorder::{with_arguments, RecordingService};
+use std::net::SocketAddr;
+
+/// The body of an admin request on the only host.
+const TOY: &str = r#"{"host":"toy-0"}"#;
+/// The wait that the example requests ask for, in milliseconds.
+const WAIT_MS: u64 = 900;
+
+/// Host, counter and discovery of one limiter.
+struct Platform {
+    host: RecordingService,
+    counter: RecordingService,
+    discovery: RecordingService,
+}
+
+impl Platform {
+    fn start() -> Self {
+        let host = RecordingService::resp(answer_as_host);
+        let listed = host.address;
+        Platform {
+            host,
+            counter: RecordingService::resp(|_| Some("$1\r\n1\r\n".to_owned())),
+            discovery: RecordingService::http(move |request| answer_as_discovery(request, listed)),
+        }
+    }
+
+    fn start_limiter(&self, number: u8, change: impl Fn(String) -> String) -> Limiter {
+        let services = Services {
+            discovery: self.discovery.address,
+            counter: self.counter.address,
+        };
+        start_process(number, services, change)
+    }
+
+    /// Waits until the limiter has the endpoint list: it calls for the list, and then for changes of it.
+    fn wait_until_listed(&self) {
+        assert!(self
+            .discovery
+            .next_message()
+            .starts_with("GET /discovery/hosts HTTP"));
+        assert!(self
+            .discovery
+            .next_message()
+            .starts_with("GET /discovery/hosts?"));
+    }
+}
+
+/// Serves every request; of one that is larger than a unit it reports the true cost.
+fn answer_as_host(command: &str) -> Option<String> {
+    let answer = if command.contains("units=2") {
+        "*3\r\n$2\r\nok\r\n$6\r\ncost=3\r\n$-1\r\n"
+    } else {
+        "*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n"
+    };
+    Some(answer.to_owned())
+}
+
+/// Returns the list at once, and leaves a call for changes without an answer.
+fn answer_as_discovery(request: &str, host: SocketAddr) -> Option<String> {
+    if request.contains("?index=") {
+        return None;
+    }
+    let list = format!(
+        r#"{{"generation":7,"reset":true,"instances":[{{"instanceId":"toy-0","hostPort":"{host}","zone":"a",{}}}]}}"#,
+        r#""machineType":"toy","cell":0,"lifecycle":"SERVING","weight":1.0,"startedAtMs":0"#
+    );
+    Some(format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}",
+        list.len()
+    ))
+}
+
+/// Replaces the remaining wait in the facts of a request.
+fn without_wait(argument: &str) -> String {
+    let fact = |fact: &str| match fact.strip_prefix("d=") {
+        Some(wait) => {
+            let wait: u64 = wait.parse().expect("the wait is a number");
+            assert!((1..=WAIT_MS).contains(&wait), "{wait}");
+            "d=<remaining>".to_owned()
+        }
+        None => fact.to_owned(),
+    };
+    let facts: Vec<String> = argument.split(',').map(fact).collect();
+    facts.join(",")
+}
+
+/// Replaces the index of the window in a counter's name, and the time for which the counter keeps it: with windows of
+/// 25 s, that is to the end of the window after the present one.
+fn without_window_and_keep_time(argument: &str) -> String {
+    match argument.split_once('.') {
+        Some((name, window)) if name.starts_with('q') => {
+            window.parse::<u64>().expect("the window is a number");
+            return format!("{name}.<window>");
+        }
+        _ => {}
+    }
+    match argument.parse::<u64>() {
+        Ok(25_000..=50_000) => "<keep>".to_owned(),
+        _ => argument.to_owned(),
+    }
+}
+
+fn line(message: &str) -> String {
+    format!("{}\n", message.escape_debug())
+}
+
+#[test]
+fn hosts_are_sent_these_bytes() {
+    let platform = Platform::start();
+    let limiter = platform.start_limiter(211, |text| text);
+    platform.wait_until_listed();
+    let mut transcript = String::new();
+    for (id, verb, facts, body) in [
+        (1, "Q.ASK", CHECK.to_owned(), ""),
+        (2, "q.ask", CHECK.to_owned(), "x"),
+        (3, "Q.DO", HOLD.to_owned(), "a bed"),
+        (4, "Q.DO", format!("{HOLD},r=1"), ""),
+        (
+            5,
+            "Q.ASK",
+            CHECK.replace("units=1", "other=y,units=0.25"),
+            "",
+        ),
+    ] {
+        let answer = ask(&mut limiter.connect(), &request(verb, id, &facts, body), 1);
+        assert_eq!(answer, "$2\r\nok\r\n", "request {id}");
+        transcript += &line(&with_arguments(&platform.host.next_message(), without_wait));
+    }
+    assert_golden("wire-hosts.txt", &transcript);
+}
+
+/// A request whose estimate stands, one whose true cost is settled with the call after it, and one that is refunded
+/// because no host may run it.
+#[test]
+fn the_counter_is_sent_these_bytes() {
+    let transcript = within_one_window(record_counter_calls);
+    assert_golden("wire-counter.txt", &transcript);
+}
+
+fn record_counter_calls() -> String {
+    let platform = Platform::start();
+    let limiter = platform.start_limiter(213, |text| {
+        with_long_window(text).replace(
+            "\"counter\": true",
+            "\"counter\": true, \"costAfter\": true",
+        )
+    });
+    platform.wait_until_listed();
+    let mut client = limiter.connect();
+    let mut transcript = String::new();
+    let mut record = |id, facts: &str, calls| {
+        ask(&mut client, &request("Q.ASK", id, facts, ""), 1);
+        for _ in 0..calls {
+            let call = platform.counter.next_message();
+            transcript += &line(&with_arguments(&call, without_window_and_keep_time));
+        }
+    };
+    record(1, &CHECK.replace("units=1", "units=0.25"), 1);
+    record(2, &CHECK.replace("units=1", "units=2"), 1);
+    assert_eq!(limiter.call("PUT", "/servers/disable", TOY), 200);
+    record(3, CHECK, 2);
+    transcript
+}
+
+/// The first call for the list, the watch behind it, and the call for the whole list beside the watch.
+#[test]
+fn discovery_is_sent_these_bytes() {
+    let platform = Platform::start();
+    let _limiter = platform.start_limiter(214, |text| text);
+    let transcript = discovery_calls(&platform, 3);
+    assert_golden("wire-discovery.txt", &transcript);
+}
+
+/// Where limiters poll, the first call is for the changes since the list of the configuration.
+#[test]
+fn a_polled_discovery_is_sent_these_bytes() {
+    let platform = Platform::start();
+    let _limiter = platform.start_limiter(215, |text| {
+        text.replace("\"registryMode\": \"push\"", "\"registryMode\": \"ask\"")
+    });
+    let transcript = discovery_calls(&platform, 1);
+    assert_golden("wire-discovery-polled.txt", &transcript);
+}
+
+fn discovery_calls(platform: &Platform, count: usize) -> String {
+    let address = platform.discovery.address.to_string();
+    (0..count)
+        .map(|_| {
+            line(
+                &platform
+                    .discovery
+                    .next_message()
+                    .replace(&address, "<discovery>"),
+            )
+        })
+        .collect()
+}
--- a/tests/process/mod.rs
+++ b/tests/process/mod.rs
@@ -55,10 +55,10 @@
     (limiter, wake)
 }
 
-/// Where the toy's services listen.
-struct Services {
-    discovery: SocketAddr,
-    counter: SocketAddr,
+/// Where the services that a limiter calls listen.
+pub struct Services {
+    pub discovery: SocketAddr,
+    pub counter: SocketAddr,
 }
 
 /// Binds the toy's services, reports their addresses, and serves once it is woken.
@@ -90,7 +90,8 @@
     Ok(())
 }
 
-fn start_process(number: u8, services: Services, change: impl Fn(String) -> String) -> Limiter {
+/// Starts a limiter at an address of its own beside services that run already.
+pub fn start_process(number: u8, services: Services, change: impl Fn(String) -> String) -> Limiter {
     let Services { discovery, counter } = services;
     // Nobody else has this port at this address.
     let address = SocketAddr::from(([127, 77, 0, number], discovery.port()));
