--- a/crates/fakes/src/context.rs
+++ b/crates/fakes/src/context.rs
@@ -2,10 +2,11 @@
 //! thread; no borrow is held across an `await`.
 
 use crate::limiter::LimiterProcess;
-use crate::recorder::{AttemptId, Recorder};
+use crate::recorder::Recorder;
 use crate::state::{FakeCounter, FakeDiscovery, FakeHost};
-use quartzcleat_decision::api::{Nanos, RequestId};
+use quartzcleat_decision::api::{Nanos, Outcome, RequestId};
 use quartzcleat_invariants::{Answer, Fact, Record};
+use quartzcleat_simulation::host::HostStatus;
 use quartzcleat_simulation::oracle::ChoicePoint;
 use quartzcleat_simulation::scenario::{option_of_variant, Scenario};
 use std::cell::{Cell, RefCell};
@@ -112,9 +113,20 @@
         self.recorder.borrow_mut().take_records()
     }
 
-    /// The attempts in flight at a host.
-    pub(crate) fn in_flight_at(&self, host: usize) -> Vec<AttemptId> {
-        self.recorder.borrow().in_flight_at(host)
+    /// Ends a host's process or its machine. The end of a process resets its attempts.
+    pub(crate) fn end_host(&self, host: usize, status: HostStatus) {
+        self.hosts.borrow_mut()[host].end(status);
+        if status != HostStatus::Dead {
+            return;
+        }
+        let in_flight = self.recorder.borrow().in_flight_at(host);
+        for attempt in in_flight {
+            self.record(Fact::AttemptEnded {
+                request: attempt.request,
+                attempt: attempt.attempt,
+                outcome: Outcome::Reset,
+            });
+        }
     }
 
     /// A request id that this run has not used.
--- a/crates/fakes/src/events.rs
+++ b/crates/fakes/src/events.rs
@@ -32,12 +32,12 @@
         }
         ScenarioEvent::KillHost(host) => {
             context.remark(format!("{}'s process dies", host_name(host)));
-            host::end(context, host, HostStatus::Dead);
+            context.end_host(host, HostStatus::Dead);
             announce_change(context, host);
         }
         ScenarioEvent::IsolateHost(host) => {
             context.remark(format!("{}'s machine vanishes", host_name(host)));
-            host::end(context, host, HostStatus::Unreachable);
+            context.end_host(host, HostStatus::Unreachable);
         }
         ScenarioEvent::StartHost(host) => start_host(context, host),
         ScenarioEvent::ReplaceHost { old, new } => replace_host(context, old, new).await,
@@ -90,7 +90,7 @@
         processes.host(old),
         processes.host(new)
     ));
-    host::end(context, old, HostStatus::Dead);
+    context.end_host(old, HostStatus::Dead);
     {
         let mut hosts = context.hosts.borrow_mut();
         hosts[new].addresses = hosts[old].addresses.clone();
--- a/crates/fakes/src/server/host.rs
+++ b/crates/fakes/src/server/host.rs
@@ -5,8 +5,7 @@
 use crate::server::host_attempt::{self, AfterAttempt};
 use crate::state::Endpoint;
 use crate::task::{disable_nagle, spawn};
-use quartzcleat_decision::api::{Outcome, RequestId};
-use quartzcleat_invariants::Fact;
+use quartzcleat_decision::api::RequestId;
 use quartzcleat_simulation::host::HostStatus;
 use std::io;
 use std::net::SocketAddr;
@@ -33,21 +32,6 @@
     }
 }
 
-/// Ends a host's process or machine. The end of a process resets its attempts.
-pub(crate) fn end(context: &Context, host: usize, life: HostStatus) {
-    context.hosts.borrow_mut()[host].end(life);
-    if life != HostStatus::Dead {
-        return;
-    }
-    for in_flight in context.in_flight_at(host) {
-        context.record(Fact::AttemptEnded {
-            request: in_flight.request,
-            attempt: in_flight.attempt,
-            outcome: Outcome::Reset,
-        });
-    }
-}
-
 fn has_vanished(context: &Context, host: usize) -> bool {
     context.hosts.borrow()[host].model.status == HostStatus::Unreachable
 }
--- a/crates/fakes/src/server/host_attempt.rs
+++ b/crates/fakes/src/server/host_attempt.rs
@@ -3,7 +3,6 @@
 
 use crate::context::{Context, DeduplicationKey};
 use crate::resp::CommandStream;
-use crate::server::host;
 use crate::task::spawn;
 use quartzcleat_decision::api::{Effect, Group, Nanos, Outcome, RequestId};
 use quartzcleat_invariants::Fact;
@@ -248,7 +247,7 @@
         Arrival::Lost => Err(HostReply::Silence),
         Arrival::Overloads => {
             context.record(Fact::HostOverloaded { host: attempt.host });
-            host::end(context, attempt.host, HostStatus::Dead);
+            context.end_host(attempt.host, HostStatus::Dead);
             Err(HostReply::Reset)
         }
     }
--- a/crates/fakes/src/state/host.rs
+++ b/crates/fakes/src/state/host.rs
@@ -67,10 +67,10 @@
     }
 
     /// Ends the host's process or its machine.
-    pub(crate) fn end(&mut self, life: HostStatus) {
-        self.model.stop(life);
+    pub(crate) fn end(&mut self, status: HostStatus) {
+        self.model.stop(status);
         self.queued.clear();
-        if life == HostStatus::Dead {
+        if status == HostStatus::Dead {
             self.ended_processes.send_modify(|count| *count += 1);
         }
     }
--- a/crates/simulation/src/fingerprint.rs
+++ b/crates/simulation/src/fingerprint.rs
@@ -3,9 +3,9 @@
 
 use crate::counter::Counter;
 use crate::event_queue::EventQueue;
+use crate::executed_keys::ExecutedKeys;
 use crate::host::Host;
 use crate::limiter::Limiter;
-use crate::simulation::ExecutedKeys;
 use quartzcleat_decision::api::Nanos;
 use quartzcleat_invariants::Fact;
 use std::fmt::{self, Write as _};
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -10,6 +10,7 @@
 
 pub mod counter;
 mod event_queue;
+mod executed_keys;
 mod fingerprint;
 pub mod host;
 mod limiter;
--- a/crates/simulation/src/simulation.rs
+++ b/crates/simulation/src/simulation.rs
@@ -15,6 +15,7 @@
 
 use crate::counter::Counter;
 use crate::event_queue::{Event, EventQueue, LimiterIncarnation};
+use crate::executed_keys::ExecutedKeys;
 use crate::fingerprint::{HistoryHash, RunState};
 use crate::host::Host;
 use crate::limiter::Limiter;
@@ -25,7 +26,6 @@
 use discovery::Discovery;
 use quartzcleat_decision::api::Nanos;
 use quartzcleat_invariants::{Fact, Record};
-use std::collections::BTreeMap;
 
 /// The result of a run.
 #[derive(Clone, Debug)]
@@ -56,16 +56,6 @@
 #[derive(Debug)]
 struct Stopped;
 
-/// An idempotency key at the hosts that recognise each other's keys.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct GroupKey {
-    group: u32,
-    operation: u64,
-}
-
-/// When each key was executed first within its window.
-pub(crate) type ExecutedKeys = BTreeMap<GroupKey, Nanos>;
-
 struct Simulation<'a> {
     scenario: &'a Scenario,
     oracle: &'a mut dyn Oracle,
--- a/crates/simulation/src/simulation/attempts.rs
+++ b/crates/simulation/src/simulation/attempts.rs
@@ -1,7 +1,8 @@
 //! Attempts: their way to a host, their execution there, and what the limiter learns of their end.
 
-use super::{GroupKey, Simulation, Stopped};
+use super::{Simulation, Stopped};
 use crate::event_queue::Event;
+use crate::executed_keys::GroupKey;
 use crate::host::{Arrival, AttemptKey, HostStatus};
 use crate::limiter::{AttemptId, AttemptNotAllowed, InFlightAttempt, StartedAttempt};
 use crate::oracle::ChoicePoint;
