--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -25,14 +25,3 @@
 
 pub use harness::{run, run_measured, run_with, RunReport};
 pub use process::Usage;
-
-/// The former name of [`run`].
-pub use harness::run as play;
-
-/// Former names of the harness's functions.
-pub mod stage {
-    pub use crate::harness::run_measured as perform;
-    pub use crate::harness::run_with as perform_with;
-    pub use crate::harness::RunReport as Performed;
-    pub use crate::process::Usage;
-}
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -2,12 +2,16 @@
 //! and reorder datagrams, and faults that a scenario names or that are generated from a seed: isolation, pauses, kills,
 //! restarts. The target of the limiters' actions writes one history with one clock, and [`judge`] gives a verdict on it.
 //! A run that never reached the changes of lease holder that its scenario is for is empty, which is a failure too.
+//!
+//! Modules depend on each other in one direction: `run` -> `trial` -> `network`, `process`, `limiter_config` ->
+//! `link`, `target`, `scenario`; `row` and `verdict` read the report of a run, `testbed`, and know no sockets.
 
 mod limiter_config;
 pub mod link;
 mod network;
 pub mod process;
 pub mod row;
+mod run;
 pub mod scenario;
 pub mod shrink;
 pub mod target;
@@ -16,14 +20,8 @@
 pub mod verdict;
 
 pub use row::Row;
+pub use run::run;
 pub use scenario::{Fault, Scenario};
 pub use shrink::shrink;
-pub use testbed::{run, RunReport, Testbed};
+pub use testbed::{RunReport, Testbed};
 pub use verdict::{judge, Verdict};
-
-/// The former name of [`Scenario`].
-pub use scenario::Scenario as Story;
-/// The former name of [`run`].
-pub use testbed::run as play;
-/// The former name of [`Testbed`].
-pub use testbed::Testbed as Ground;
--- a/tests/export/main.rs
+++ b/tests/export/main.rs
@@ -3,7 +3,7 @@
 
 use quartzcleat_config::lease::CRASH_POINTS;
 use quartzcleat_decision::api::RequestId;
-use quartzcleat_fakes::stage::perform_with;
+use quartzcleat_fakes::run_with;
 use quartzcleat_invariants::{Fact, Record};
 use scenario::{scenario, LIMITERS};
 use serde_json::Value;
@@ -15,6 +15,7 @@
 mod scenario;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_quartzcleat");
+
 /// Milliunits that the hosts executed, by partner.
 fn executed_milliunits(records: &[Record]) -> BTreeMap<usize, u64> {
     let mut requests: BTreeMap<RequestId, (usize, u64)> = BTreeMap::new();
@@ -169,12 +170,12 @@
             crash_at,
         ))
     };
-    let performed = perform_with(&scenario(), Path::new(PROGRAM), &folder, own_config)
-        .expect("the scenario runs");
+    let report =
+        run_with(&scenario(), Path::new(PROGRAM), &folder, own_config).expect("the scenario runs");
     let crashes = count_scheduled_crashes(&folder);
     assert!(crashes >= 1, "{point}: no limiter came to it");
     println!("{point}: {crashes} limiters crashed there");
-    check_reports(point, &folder, &executed_milliunits(&performed.records));
+    check_reports(point, &folder, &executed_milliunits(&report.records));
     // A folder that stays behind does not concern the result.
     let _ = std::fs::remove_dir_all(&folder);
 }
--- a/tests/export/scenario.rs
+++ b/tests/export/scenario.rs
@@ -1,131 +1,77 @@
 //! The scenario: limiters are killed and started again while requests arrive.
 
 use quartzcleat_config::Deployment;
-use quartzcleat_decision::api::{HostState, Settings};
-use quartzcleat_invariants::{Process, Processes};
-use quartzcleat_simulation::scenario::{
-    AttemptOutcome, ClientRequest, CounterSetup, HostSetup, LimiterSet, NetworkDelays, Scenario,
-    ScenarioEvent, Step,
-};
+use quartzcleat_decision::api::Settings;
+use quartzcleat_fakes::load::{load_scenario, request_step, LoadTopology, PLAN};
+use quartzcleat_simulation::scenario::{ClientRequest, LimiterSet, Scenario, ScenarioEvent, Step};
 
 const NANOS_PER_MS: u64 = 1_000_000;
 const REQUESTS: u64 = 500;
-const PARTNERS: usize = 5;
+const REQUEST_INTERVAL_MS: u64 = 10;
+const CUSTOMERS: usize = 5;
 pub const LIMITERS: usize = 3;
 const HOSTS: usize = 3;
-const PLAN: u32 = 2;
+const WORK_MS: u64 = 15;
+const CLIENT_TIMEOUT_MS: u64 = 1_500;
+/// When each limiter is killed and started again.
+const RESTARTS_MS: [u64; LIMITERS] = [2_000, 2_400, 2_800];
+/// The pause before the last request is long enough to export what is left.
+const LAST_REQUEST_MS: u64 = 7_500;
+const END_MS: u64 = 9_000;
 
-/// The settings of a deployed day, with a plan that rejects nothing.
+/// The settings of a deployed day.
 fn settings() -> Settings {
     let day = Deployment::read(
         "imlil-main.yaml",
         include_str!("../../deploy/imlil-main.yaml"),
     )
     .expect("the day is valid");
-    let mut settings = day.settings;
-    let plan = &mut settings.plans[PLAN as usize];
-    plan.rate = 100_000.0;
-    plan.burst = 100_000.0;
-    plan.open = 0;
-    settings
+    day.settings
 }
 
-/// Five partners send requests for five seconds; each limiter is killed once from outside, and started again.
+/// Five customers send requests for five seconds; each limiter is killed once from outside, and started again.
 pub fn scenario() -> Scenario {
-    let settings = settings();
-    let classes = settings
-        .classes
-        .iter()
-        .map(|class| class.name.clone())
-        .collect();
-    Scenario {
-        ground_truth: settings.clone(),
-        processes: processes(classes),
-        hosts: vec![
-            HostSetup {
-                cores: 64,
-                state: HostState::Ready,
-                ..HostSetup::default()
-            };
-            HOSTS
-        ],
-        network: NetworkDelays {
-            same_zone: 100_000,
-            cross_zone: 100_000,
-            counter: 100_000,
-        },
-        start: 0,
-        start_offsets: vec![0],
-        seeds: vec![1],
-        discovery_delays: vec![0],
-        counter: CounterSetup {
-            call_duration: 20_000,
-            ..CounterSetup::default()
-        },
-        attempt_outcomes: vec![AttemptOutcome::Normal],
-        work: vec![15 * NANOS_PER_MS, 15 * NANOS_PER_MS],
-        log_deviation: 0.0,
-        steps: steps(),
-        retry: None,
-        max_duration: 9_000 * NANOS_PER_MS,
-        variant: Some(0),
-        settings,
-    }
-}
-
-fn processes(classes: Vec<String>) -> Processes {
-    let process = |name: String| Process {
-        name,
-        zone: 0,
-        cell: 0,
+    let topology = LoadTopology {
+        limiters: LIMITERS,
+        hosts: HOSTS,
+        customers: CUSTOMERS,
+        work: WORK_MS * NANOS_PER_MS,
     };
-    Processes {
-        zones: vec!["room-a".into()],
-        limiters: (0..LIMITERS)
-            .map(|number| process(format!("l{number}")))
-            .collect(),
-        hosts: (0..HOSTS)
-            .map(|number| process(format!("n{number}")))
-            .collect(),
-        partners: (0..PARTNERS)
-            .map(|number| format!("partner-{number}"))
-            .collect(),
-        classes,
-    }
+    load_scenario(&settings(), topology, steps(), END_MS * NANOS_PER_MS)
 }
 
 fn request(number: u64) -> ClientRequest {
     ClientRequest {
         operation: number + 1,
         class: (number % 2) as usize,
-        partner: number as usize % PARTNERS,
+        partner: number as usize % CUSTOMERS,
         plan: PLAN,
         units: [1.0, 2.0, 0.5][number as usize % 3],
         true_units: 0.0,
         limiter: number as usize % LIMITERS,
         limiter_set: LimiterSet { count: 3, first: 0 },
-        timeout: 1_500 * NANOS_PER_MS,
+        timeout: CLIENT_TIMEOUT_MS * NANOS_PER_MS,
         retry: false,
     }
 }
 
-fn step(at_ms: u64, what: ScenarioEvent) -> Step {
+fn restart_step(at_ms: u64, event: ScenarioEvent) -> Step {
     Step {
         moments: vec![at_ms * NANOS_PER_MS],
-        event: what,
+        event,
         reorder_group: None,
     }
 }
 
 fn steps() -> Vec<Step> {
+    let request_at = |at_ms: u64, number| request_step(at_ms * NANOS_PER_MS, request(number));
     let mut steps: Vec<Step> = (0..REQUESTS)
-        .map(|number| step(number * 10, ScenarioEvent::Request(request(number))))
+        .map(|number| request_at(number * REQUEST_INTERVAL_MS, number))
         .collect();
-    for (limiter, at_ms) in [(0, 2_000), (1, 2_400), (2, 2_800)] {
-        steps.push(step(at_ms, ScenarioEvent::KillLimiter(limiter)));
-        steps.push(step(at_ms, ScenarioEvent::StartLimiter(limiter)));
+    for (limiter, at_ms) in RESTARTS_MS.into_iter().enumerate() {
+        steps.push(restart_step(at_ms, ScenarioEvent::KillLimiter(limiter)));
+        steps.push(restart_step(at_ms, ScenarioEvent::StartLimiter(limiter)));
     }
-    // The pause before the last request is long enough to export what is left.
-    steps.push(step(7_500, ScenarioEvent::Request(request(REQUESTS))));
+    steps.push(request_at(LAST_REQUEST_MS, REQUESTS));
     steps
 }
--- a/tests/leases.rs
+++ b/tests/leases.rs
@@ -1,6 +1,6 @@
 //! Leases under faults: three processes of the program on faulty links, judged by one recorded history.
 
-use quartzcleat_fault_injection::{judge, play, Ground, Story, Verdict};
+use quartzcleat_fault_injection::{judge, run, Scenario, Testbed, Verdict};
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
@@ -16,19 +16,19 @@
 
 /// Runs a scenario with this build's program. Leases must hold, and change hands as often as the scenario demands.
 fn run_scenario(text: &str, seed: u64) -> Verdict {
-    let scenario = Story::read("story.yaml", text).expect("the scenario is valid");
+    let scenario = Scenario::read("scenario.yaml", text).expect("the scenario is valid");
     let folder = temporary_folder(&format!("trial-{seed}"));
-    let testbed = Ground {
+    let testbed = Testbed {
         program: PathBuf::from(PROGRAM),
         beside: None,
         platform: PLATFORM_CONFIG.to_owned(),
         folder: folder.clone(),
         checks: true,
     };
-    let run = play(&scenario, seed, &testbed).expect("the scenario runs");
+    let report = run(&scenario, seed, &testbed).expect("the scenario runs");
     // A folder that stays behind does not concern the result.
     let _ = std::fs::remove_dir_all(&folder);
-    let verdict = judge(&run.seen, &run.marks);
+    let verdict = judge(&report.seen, &report.marks);
     assert!(verdict.holds(), "seed {seed}: {verdict:?}");
     assert!(
         verdict.changes >= scenario.changes,
