--- a/tests/golden/handoff.rs
+++ b/tests/golden/handoff.rs
@@ -5,7 +5,7 @@
 
 use crate::assert_golden;
 use crate::process::{ask, request, start, Limiter, CHECK, HOLD};
-use crate::quota_window::{with_long_window, within_one_window};
+use crate::quota_window::{with_long_window, within_one_window, FEW_UNITS};
 use std::fs::File;
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
@@ -101,8 +101,10 @@
 fn record_handoff() -> String {
     let limiter = start(241, false, with_long_window);
     let mut client = limiter.connect();
-    assert!(ask(&mut client, &request("Q.ASK", 1, CHECK, ""), 1).starts_with('$'));
-    assert!(ask(&mut client, &request("Q.DO", 2, HOLD, "x"), 1).starts_with('$'));
+    for (id, verb, facts) in [(1, "Q.ASK", CHECK), (2, "Q.DO", HOLD)] {
+        let command = request(verb, id, &facts.replace("units=1", FEW_UNITS), "");
+        assert!(ask(&mut client, &command, 1).starts_with('$'));
+    }
     let handoff = Successor::publish(&limiter).receive_handoff();
     without_measurements(&handoff, &limiter.address.to_string())
 }
--- a/tests/golden/quota_window.rs
+++ b/tests/golden/quota_window.rs
@@ -5,6 +5,9 @@
 /// The longest window, which applies to a plan that is refilled slowly.
 const LONGEST_WINDOW: Duration = Duration::from_secs(25);
 
+/// The units that the example plan refills in a window: its burst of 36 units, one and a quarter times.
+const UNITS_PER_WINDOW: f64 = 45.0;
+
 /// The example configuration, with the longest window for the plan of the example requests.
 pub fn with_long_window(text: String) -> String {
     let changed = text.replace("\"refill\": 17.0", "\"refill\": 0.0001");
@@ -12,21 +15,51 @@
     changed
 }
 
-/// The result of a scenario that takes place within one window. One that the end of a window cuts is repeated: its
-/// requests are counted in two windows then.
+/// So old a window has to be before requests of [`FEW_UNITS`] are judged without the count of the window before it: by
+/// then more units have been refilled than they use. A limiter reads that count otherwise.
+const MIN_WINDOW_AGE: Duration = Duration::from_millis(100);
+
+/// The fact of a request that uses hardly any of its quota.
+pub const FEW_UNITS: &str = "units=0.001";
+
+/// The result of a scenario that takes place within one window, not at its very beginning. A scenario that the end of a
+/// window cuts is repeated: its requests are counted in two windows.
 pub fn within_one_window(scenario: impl Fn() -> String) -> String {
     loop {
         let window = current_window();
+        if window.age < MIN_WINDOW_AGE {
+            std::thread::yield_now();
+            continue;
+        }
         let result = scenario();
-        if current_window() == window {
+        if current_window().index == window.index {
             return result;
         }
     }
 }
 
-fn current_window() -> u128 {
+/// A window at a moment.
+pub struct Window {
+    pub index: u128,
+    /// How long ago it began.
+    age: Duration,
+}
+
+impl Window {
+    /// The units of the example plan that have been refilled since the window began.
+    pub fn refilled_units(&self) -> f64 {
+        UNITS_PER_WINDOW * self.age.as_secs_f64() / LONGEST_WINDOW.as_secs_f64()
+    }
+}
+
+pub fn current_window() -> Window {
     let unix = SystemTime::UNIX_EPOCH
         .elapsed()
         .expect("the clock is later than 1970");
-    unix.as_nanos() / LONGEST_WINDOW.as_nanos()
+    let index = unix.as_nanos() / LONGEST_WINDOW.as_nanos();
+    let start_nanos = (index * LONGEST_WINDOW.as_nanos()) as u64;
+    Window {
+        index,
+        age: unix - Duration::from_nanos(start_nanos),
+    }
 }
--- a/tests/golden/services.rs
+++ b/tests/golden/services.rs
@@ -5,12 +5,17 @@
 
 use crate::assert_golden;
 use crate::process::{ask, request, start_process, Limiter, Services, CHECK, HOLD};
-use crate::quota_window::{with_long_window, within_one_window};
+use crate::quota_window::{current_window, with_long_window, within_one_window, FEW_UNITS};
 use crate::recorder::{with_arguments, RecordingService};
 use std::net::SocketAddr;
+use std::sync::Mutex;
 
 /// The body of an admin request on the only host.
 const TOY: &str = r#"{"host":"toy-0"}"#;
+/// The fact of a request whose true cost the host reports.
+const SETTLED_UNITS: &str = "units=0.002";
+/// So many units beyond the refill of a window may be used where the window before was not used up.
+const UNITS_PAST_REFILL: f64 = 10.0;
 /// The wait that the example requests ask for, in milliseconds.
 const WAIT_MS: u64 = 900;
 
@@ -27,7 +32,7 @@
         let listed = host.address;
         Platform {
             host,
-            counter: RecordingService::resp(|_| Some("$1\r\n1\r\n".to_owned())),
+            counter: RecordingService::resp(counter_answer()),
             discovery: RecordingService::http(move |request| answer_as_discovery(request, listed)),
         }
     }
@@ -53,16 +58,29 @@
     }
 }
 
-/// Serves every request; of one that is larger than a unit it reports the true cost.
+/// Serves every request; of one with [`SETTLED_UNITS`] it reports the true cost.
 fn answer_as_host(command: &str) -> Option<String> {
-    let answer = if command.contains("units=2") {
-        "*3\r\n$2\r\nok\r\n$6\r\ncost=3\r\n$-1\r\n"
+    let answer = if command.contains(SETTLED_UNITS) {
+        "*3\r\n$2\r\nok\r\n$10\r\ncost=0.003\r\n$-1\r\n"
     } else {
         "*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n"
     };
     Some(answer.to_owned())
 }
 
+/// Adds to a single total, and returns it.
+fn counter_answer() -> impl Fn(&str) -> Option<String> + Send + Sync + 'static {
+    let total = Mutex::new(0.0);
+    move |command| {
+        let amount = command.split("\r\n").nth(6).expect("a third argument");
+        let amount: f64 = amount.parse().expect("an amount");
+        let mut total = total.lock().expect("no thread panics while it adds");
+        *total += amount;
+        let text = total.to_string();
+        Some(format!("${}\r\n{text}\r\n", text.len()))
+    }
+}
+
 /// Returns the list at once, and leaves a call for changes without an answer.
 fn answer_as_discovery(request: &str, host: SocketAddr) -> Option<String> {
     if request.contains("?index=") {
@@ -95,12 +113,15 @@
 /// Replaces the index of the window in a counter's name, and the time for which the counter keeps it: with windows of
 /// 25 s, that is to the end of the window after the present one.
 fn without_window_and_keep_time(argument: &str) -> String {
-    match argument.split_once('.') {
-        Some((name, window)) if name.starts_with('q') => {
-            window.parse::<u64>().expect("the window is a number");
+    if let Some((name, index)) = argument.split_once('.') {
+        let current = current_window().index;
+        let index: Option<u128> = index.parse().ok();
+        if index == Some(current) && name.starts_with('q') {
             return format!("{name}.<window>");
         }
-        _ => {}
+        if index == Some(current - 1) && name.starts_with('q') {
+            return format!("{name}.<window before>");
+        }
     }
     match argument.parse::<u64>() {
         Ok(25_000..=50_000) => "<keep>".to_owned(),
@@ -163,13 +184,40 @@
             transcript += &line(&with_arguments(&call, without_window_and_keep_time));
         }
     };
-    record(1, &CHECK.replace("units=1", "units=0.25"), 1);
-    record(2, &CHECK.replace("units=1", "units=2"), 1);
+    record(1, &CHECK.replace("units=1", FEW_UNITS), 1);
+    record(2, &CHECK.replace("units=1", SETTLED_UNITS), 1);
     assert_eq!(limiter.call("PUT", "/servers/disable", TOY), 200);
-    record(3, CHECK, 2);
+    record(3, &CHECK.replace("units=1", FEW_UNITS), 2);
     transcript
 }
 
+/// The answer to the first call leaves the verdict to the use of the window before.
+#[test]
+fn the_counter_is_asked_for_the_window_before_in_these_bytes() {
+    let transcript = within_one_window(record_read_of_window_before);
+    assert_golden("wire-counter-read.txt", &transcript);
+}
+
+fn record_read_of_window_before() -> String {
+    let platform = Platform {
+        counter: RecordingService::resp(|_| {
+            let total = current_window().refilled_units() + UNITS_PAST_REFILL;
+            let text = total.to_string();
+            Some(format!("${}\r\n{text}\r\n", text.len()))
+        }),
+        ..Platform::start()
+    };
+    let limiter = platform.start_limiter(216, with_long_window);
+    platform.wait_until_listed();
+    ask(&mut limiter.connect(), &request("Q.ASK", 1, CHECK, ""), 1);
+    (0..2)
+        .map(|_| {
+            let call = platform.counter.next_message();
+            line(&with_arguments(&call, without_window_and_keep_time))
+        })
+        .collect()
+}
+
 /// The first call for the list, the watch behind it, and the call for the whole list beside the watch.
 #[test]
 fn discovery_is_sent_these_bytes() {
