--- a/crates/fakes/src/context.rs
+++ b/crates/fakes/src/context.rs
@@ -1,7 +1,7 @@
 //! What the tasks of a run share: the scenario, the clock, the records and the state of each fake. All tasks run on one
 //! thread; no borrow is held across an `await`.
 
-use crate::limiter::LimiterProcess;
+use crate::limiter::Limiter;
 use crate::recorder::Recorder;
 use crate::state::{FakeCounter, FakeDiscovery, FakeHost};
 use quartzcleat_decision::api::{Nanos, Outcome, RequestId};
@@ -61,7 +61,7 @@
     pub(crate) hosts: RefCell<Vec<FakeHost>>,
     pub(crate) counter: RefCell<FakeCounter>,
     pub(crate) discovery: RefCell<FakeDiscovery>,
-    pub(crate) limiters: RefCell<Vec<LimiterProcess>>,
+    pub(crate) limiters: RefCell<Vec<Limiter>>,
     /// Requests by their id on the wire.
     pub(crate) requests: RefCell<BTreeMap<RequestId, RequestState>>,
     /// When each idempotency key was first executed.
@@ -177,7 +177,7 @@
         let limiters = self.limiters.borrow();
         limiters
             .get(limiter)
-            .filter(|process| process.is_running())
-            .map(|process| process.addresses.listen)
+            .filter(|limiter| limiter.process.is_running())
+            .map(|limiter| limiter.addresses.listen)
     }
 }
--- a/crates/fakes/src/events.rs
+++ b/crates/fakes/src/events.rs
@@ -3,7 +3,6 @@
 use crate::client;
 use crate::context::Context;
 use crate::endpoints::host_state;
-use crate::limiter;
 use crate::server::host;
 use crate::task::spawn;
 use quartzcleat_decision::api::HostState;
@@ -112,8 +111,12 @@
 
 async fn kill_limiter(context: &Context, limiter: usize) {
     context.record(Fact::LimiterDied { limiter });
-    let child = context.limiters.borrow_mut()[limiter].take_child();
-    limiter::kill(child).await;
+    let running = context.limiters.borrow_mut()[limiter]
+        .process
+        .take_running();
+    if let Some(running) = running {
+        running.kill().await;
+    }
 }
 
 /// Adds a host's change to the endpoint list; limiters see it after the scenario's lag.
--- a/crates/fakes/src/harness.rs
+++ b/crates/fakes/src/harness.rs
@@ -4,9 +4,9 @@
 use crate::context::Context;
 use crate::endpoints::{host_state, limiter_config};
 use crate::events;
-use crate::limiter::{Addresses, LimiterProcess};
-use crate::process::Usage;
-use crate::server;
+use crate::limiter::{Addresses, Limiter};
+use crate::process::{ProcessFiles, Usage};
+use crate::server::{self, accept_connections};
 use crate::state::FakeHost;
 use crate::task::spawn;
 use quartzcleat_decision::api::Nanos;
@@ -138,18 +138,20 @@
             discovery: discovery.local_addr()?,
             counter: counter.local_addr()?,
         };
-        let config = self.folder.join(format!("limiter-{limiter}.json"));
-        let process = LimiterProcess::new(&self.program, config, addresses);
+        let files = ProcessFiles::in_folder(&self.folder, &format!("limiter-{limiter}"));
+        let process = Limiter::new(&self.program, files, addresses);
         self.context.limiters.borrow_mut().push(process);
-        spawn(server::counter::serve(
+        spawn(accept_connections(
             self.context.clone(),
             limiter,
             counter,
+            server::counter::serve_connection,
         ));
-        spawn(server::discovery::serve(
+        spawn(accept_connections(
             self.context.clone(),
             limiter,
             discovery,
+            server::discovery::serve_connection,
         ));
         Ok(())
     }
@@ -169,10 +171,10 @@
         let config = limiter_config(&self.context, limiter);
         let address = {
             let mut limiters = self.context.limiters.borrow_mut();
-            let process = &mut limiters[limiter];
-            let product_config = (self.product_config)(limiter, process.starts);
-            process.start(&config, product_config)?;
-            process.addresses.listen
+            let starting = &mut limiters[limiter];
+            let product_config = (self.product_config)(limiter, starting.starts);
+            starting.start(&config, product_config.as_deref())?;
+            starting.addresses.listen
         };
         let ready = async {
             while client::ping(address).await.is_err() {
@@ -246,10 +248,13 @@
     }
 
     async fn finish(&self) -> RunReport {
-        let mut processes = std::mem::take(&mut *self.context.limiters.borrow_mut());
-        let usage = processes.iter().map(LimiterProcess::usage).collect();
-        for process in &mut processes {
-            process.kill().await;
+        let mut limiters = std::mem::take(&mut *self.context.limiters.borrow_mut());
+        let usage = limiters
+            .iter()
+            .map(|limiter| limiter.process.usage())
+            .collect();
+        for limiter in &mut limiters {
+            limiter.process.kill().await;
         }
         RunReport {
             records: self.context.take_records(),
--- a/crates/fakes/src/server/counter.rs
+++ b/crates/fakes/src/server/counter.rs
@@ -3,7 +3,6 @@
 
 use crate::context::Context;
 use crate::resp::CommandStream;
-use crate::task::accept_connections;
 use quartzcleat_decision::api::{Nanos, Outcome};
 use quartzcleat_simulation::counter::CounterReply;
 use quartzcleat_simulation::oracle::ChoicePoint;
@@ -11,7 +10,7 @@
 use std::io;
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::net::{TcpListener, TcpStream};
+use tokio::net::TcpStream;
 use tokio::time::sleep;
 
 const NANOS_PER_MS: Nanos = 1_000_000;
@@ -37,15 +36,8 @@
     }
 }
 
-/// Serves one limiter's connections until the listener fails.
-pub(crate) async fn serve(context: Rc<Context>, limiter: usize, listener: TcpListener) {
-    accept_connections(listener, |stream| {
-        serve_connection(context.clone(), limiter, stream)
-    })
-    .await;
-}
-
-async fn serve_connection(
+/// Serves one connection of a limiter.
+pub(crate) async fn serve_connection(
     context: Rc<Context>,
     limiter: usize,
     stream: TcpStream,
--- a/crates/fakes/src/server/discovery.rs
+++ b/crates/fakes/src/server/discovery.rs
@@ -4,13 +4,12 @@
 use crate::context::Context;
 use crate::endpoints::{endpoint_list, host_state, ListKind};
 use crate::state::EndpointChanges;
-use crate::task::accept_connections;
 use quartzcleat_invariants::Fact;
 use std::io;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
-use tokio::net::{TcpListener, TcpStream};
+use tokio::net::TcpStream;
 use tokio::time::timeout;
 
 const MAX_HEAD_BYTES: usize = 16 << 10;
@@ -25,15 +24,8 @@
     hosts: Vec<usize>,
 }
 
-/// Serves one limiter's calls until the listener fails.
-pub(crate) async fn serve(context: Rc<Context>, limiter: usize, listener: TcpListener) {
-    accept_connections(listener, |stream| {
-        serve_connection(context.clone(), limiter, stream)
-    })
-    .await;
-}
-
-async fn serve_connection(
+/// Serves one connection of a limiter.
+pub(crate) async fn serve_connection(
     context: Rc<Context>,
     limiter: usize,
     mut stream: TcpStream,
--- a/crates/fakes/src/server/mod.rs
+++ b/crates/fakes/src/server/mod.rs
@@ -4,3 +4,27 @@
 pub(crate) mod discovery;
 pub(crate) mod host;
 mod host_attempt;
+
+use crate::context::Context;
+use crate::task::{disable_nagle, spawn};
+use std::future::Future;
+use std::io;
+use std::rc::Rc;
+use tokio::net::{TcpListener, TcpStream};
+
+/// Accepts one limiter's connections until the listener fails, and serves each of them in a task of its own.
+pub(crate) async fn accept_connections<Serving>(
+    context: Rc<Context>,
+    limiter: usize,
+    listener: TcpListener,
+    serve_connection: fn(Rc<Context>, usize, TcpStream) -> Serving,
+) where
+    Serving: Future<Output = io::Result<()>> + 'static,
+{
+    while let Ok((stream, _)) = listener.accept().await {
+        disable_nagle(&stream);
+        let serving = serve_connection(context.clone(), limiter, stream);
+        // The limiter sees the end of a failed connection; the server has nothing to add.
+        spawn(async move { drop(serving.await) });
+    }
+}
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -3,13 +3,13 @@
 //! restarts. The target of the limiters' actions writes one history with one clock, and [`judge`] gives a verdict on it.
 //! A run that never reached the changes of lease holder that its scenario is for is empty, which is a failure too.
 //!
-//! Modules depend on each other in one direction: `run` -> `trial` -> `network`, `process`, `limiter_config` ->
+//! Modules depend on each other in one direction: `run` -> `trial` -> `network`, `limiter`, `limiter_config` ->
 //! `link`, `target`, `scenario`; `row` and `verdict` read the report of a run, `testbed`, and know no sockets.
 
+mod limiter;
 mod limiter_config;
 pub mod link;
 mod network;
-pub mod process;
 pub mod row;
 mod run;
 pub mod scenario;
--- a/crates/fault-injection/src/trial.rs
+++ b/crates/fault-injection/src/trial.rs
@@ -1,14 +1,14 @@
 //! One run of a scenario: starts links, target and limiters, and injects the faults of the seed's schedule.
 
+use crate::limiter::Limiter;
 use crate::limiter_config::{clock_line, product_config};
 use crate::link::StreamLink;
 use crate::network::{limiter_ip, Network};
-use crate::process::{Process, ProcessFiles};
 use crate::scenario::{Fault, FaultKind, FaultTarget, Scenario};
 use crate::target::Target;
 use crate::testbed::{RunReport, Testbed};
 use crate::verdict::{Mark, MarkEvent};
-use nix::sys::signal::Signal;
+use quartzcleat_fakes::process::{ProcessFiles, Signal};
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -32,8 +32,8 @@
     /// Each limiter's link to the target.
     target_links: Vec<Rc<StreamLink>>,
     clock_rng: RefCell<fastrand::Rng>,
-    /// The limiters' processes; `None` while one is stopped by a fault.
-    processes: RefCell<Vec<Option<Process>>>,
+    /// The limiters; `None` while a fault has stopped one.
+    limiters: RefCell<Vec<Option<Limiter>>>,
     target: Rc<Target>,
     marks: RefCell<Vec<Mark>>,
 }
@@ -57,37 +57,37 @@
             network: Network::open(scenario, seed).await?,
             target_links: Vec::new(),
             clock_rng: RefCell::new(fastrand::Rng::with_seed(seed.rotate_left(7))),
-            processes: RefCell::default(),
+            limiters: RefCell::default(),
             target,
             marks: RefCell::default(),
         };
         for limiter in 0..scenario.limiters {
             let link = StreamLink::open(target_address).await?;
-            let mut process = trial.prepare_process(limiter, link.address(), testbed)?;
-            process.start(&trial.random_clock_line())?;
+            let mut started = trial.prepare_limiter(limiter, link.address(), testbed)?;
+            started.start(&trial.random_clock_line())?;
             trial.target_links.push(link);
-            trial.processes.borrow_mut().push(Some(process));
+            trial.limiters.borrow_mut().push(Some(started));
         }
         Ok(Rc::new(trial))
     }
 
-    fn prepare_process(
+    fn prepare_limiter(
         &self,
         limiter: usize,
         target: SocketAddr,
         testbed: &Testbed,
-    ) -> std::io::Result<Process> {
+    ) -> std::io::Result<Limiter> {
         let key_file = testbed.folder.join(KEY_FILE);
         let product_config =
             product_config(&self.scenario, &key_file, limiter, &self.network, target)?;
-        let files = ProcessFiles::in_folder(&testbed.folder, limiter);
+        let files = ProcessFiles::in_folder(&testbed.folder, &limiter.to_string());
         let port = self.network.addresses[limiter].port();
         let listen = SocketAddr::from((limiter_ip(self.seed, limiter), port));
         let mut platform_config: serde_json::Value = serde_json::from_str(&testbed.platform)?;
         platform_config["listen"] = listen.to_string().into();
         std::fs::write(&files.platform_config, platform_config.to_string())?;
         let program = program_of(testbed, limiter);
-        Ok(Process::new(program, files, product_config))
+        Ok(Limiter::new(program, files, product_config))
     }
 
     fn random_clock_line(&self) -> String {
@@ -123,12 +123,12 @@
     /// Kills the limiters and collects the report.
     async fn finish(&self, start: Instant) -> RunReport {
         let mut report = RunReport::default();
-        let processes = std::mem::take(&mut *self.processes.borrow_mut());
-        for mut process in processes.into_iter().flatten() {
-            let usage = process.usage();
+        let limiters = std::mem::take(&mut *self.limiters.borrow_mut());
+        for mut limiter in limiters.into_iter().flatten() {
+            let usage = limiter.process.usage();
             report.cpu += Duration::from_nanos(usage.cpu_ns);
             report.peak_kb = report.peak_kb.max(usage.peak_kb);
-            process.kill().await;
+            limiter.process.kill().await;
         }
         report.seen = self.target.actions();
         report.marks = self.marks.borrow().clone();
@@ -174,26 +174,26 @@
 
     async fn restart(&self, limiter: usize, fault: Fault) {
         let stopped = self
-            .processes
+            .limiters
             .borrow_mut()
             .get_mut(limiter)
             .and_then(Option::take);
         // Another fault has stopped it already, and starts it again.
-        let Some(mut process) = stopped else { return };
+        let Some(mut stopped) = stopped else { return };
         if fault.kind == FaultKind::Terminate {
-            process.terminate().await;
+            stopped.process.terminate().await;
         } else {
-            process.kill().await;
+            stopped.process.kill().await;
         }
         sleep(fault.duration).await;
-        let event = match process.start(&self.random_clock_line()) {
+        let event = match stopped.start(&self.random_clock_line()) {
             Ok(()) => MarkEvent::Over(fault.kind),
             Err(_) => MarkEvent::StartFailed,
         };
         self.mark(limiter, event);
         // After the end of the run there is no place left; the process is killed as it is dropped.
-        if let Some(place) = self.processes.borrow_mut().get_mut(limiter) {
-            *place = Some(process);
+        if let Some(place) = self.limiters.borrow_mut().get_mut(limiter) {
+            *place = Some(stopped);
         }
     }
 
@@ -206,8 +206,8 @@
     }
 
     fn signal(&self, limiter: usize, signal: Signal) {
-        if let Some(Some(process)) = self.processes.borrow().get(limiter) {
-            process.signal(signal);
+        if let Some(Some(signalled)) = self.limiters.borrow().get(limiter) {
+            signalled.process.signal(signal);
         }
     }
 
--- a/tests/golden/admin.rs
+++ b/tests/golden/admin.rs
@@ -2,6 +2,7 @@
 
 use crate::assert_golden;
 use crate::process::{request, start, start_process, Limiter, Services, HOLD};
+use quartzcleat_fakes::process::Signal;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
@@ -111,7 +112,7 @@
     client
         .write_all(request("Q.DO", 1, &facts, "silent").as_bytes())
         .expect("the limiter reads");
-    limiter.signal("TERM");
+    limiter.signal(Signal::SIGTERM);
     let response = wait_until_not_ready(&limiter);
     assert_golden("wire-admin-ending.txt", &record("ending", &response));
 }
--- a/tests/limiter.rs
+++ b/tests/limiter.rs
@@ -4,6 +4,7 @@
 mod toy;
 
 use process::{ask, request, served, start, CHECK, HOLD};
+use quartzcleat_fakes::process::Signal;
 use std::io::{Read, Write};
 use std::time::{Duration, Instant};
 
@@ -245,7 +246,7 @@
     let mut limiter = start(7, false, |text| text);
     let mut client = limiter.connect();
     std::fs::write(&limiter.path, "{").expect("the file is replaced");
-    limiter.signal("HUP");
+    limiter.signal(Signal::SIGHUP);
     assert_eq!(
         ask(&mut client, &request("Q.ASK", 1, CHECK, ""), 1),
         served(1)
@@ -264,7 +265,7 @@
     let text = include_str!("../examples/toy.json").replace("127.0.0.1:7001", &discovery);
     std::fs::write(&limiter.path, text.replace("127.0.0.1:7002", &counter))
         .expect("the file is replaced");
-    limiter.signal("HUP");
+    limiter.signal(Signal::SIGHUP);
     let called = services
         .each_ref()
         .map(|service| service.accept().expect("the limiter connects"));
--- a/tests/process/mod.rs
+++ b/tests/process/mod.rs
@@ -2,14 +2,40 @@
 #![allow(dead_code)]
 
 use crate::toy;
+use quartzcleat_fakes::process::{limiter_command, send_signal, Signal};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::path::{Path, PathBuf};
-use std::process::{Child, Command, ExitStatus};
+use std::process::{Child, ExitStatus, Stdio};
 use std::sync::mpsc;
 use std::time::{Duration, Instant};
 use tokio::net::TcpListener;
 
+/// The limiter of this build.
+const PROGRAM: &str = env!("CARGO_BIN_EXE_quartzcleat");
+
+/// What a process of a limiter is started with.
+struct ProcessSettings<'a> {
+    path: &'a Path,
+    listen: SocketAddr,
+    discovery: SocketAddr,
+    console: SocketAddr,
+    folder: &'a Path,
+}
+
+impl ProcessSettings<'_> {
+    fn spawn(&self, program: &Path) -> Child {
+        limiter_command(program, self.path)
+            .env("BALANCER_LISTEN", self.listen.to_string())
+            .env("BALANCER_DISCOVERY", self.discovery.to_string())
+            .env("BALANCER_CONSOLE", self.console.to_string())
+            .env("TMPDIR", self.folder)
+            .stderr(Stdio::inherit())
+            .spawn()
+            .expect("the limiter starts")
+    }
+}
+
 pub struct Limiter {
     pub child: Child,
     pub address: SocketAddr,
@@ -103,7 +129,14 @@
     std::fs::write(&path, text).expect("the configuration is written");
     let folder = std::env::temp_dir().join(name);
     std::fs::create_dir_all(&folder).expect("a folder is made");
-    let child = spawn(&path, address, discovery, console, &folder);
+    let process = ProcessSettings {
+        path: &path,
+        listen: address,
+        discovery,
+        console,
+        folder: &folder,
+    };
+    let child = process.spawn(Path::new(PROGRAM));
     Limiter {
         child,
         address,
@@ -116,26 +149,7 @@
 
 /// Asks a process to end.
 pub fn send_sigterm(child: &Child) {
-    let kill = format!("kill -TERM {}", child.id());
-    let status = Command::new("sh").args(["-c", &kill]).status();
-    assert!(status.expect("kill runs").success());
-}
-
-fn spawn(
-    path: &Path,
-    listen: SocketAddr,
-    discovery: SocketAddr,
-    console: SocketAddr,
-    folder: &Path,
-) -> Child {
-    Command::new(env!("CARGO_BIN_EXE_quartzcleat"))
-        .env("BALANCER_CONFIG", path)
-        .env("BALANCER_LISTEN", listen.to_string())
-        .env("BALANCER_DISCOVERY", discovery.to_string())
-        .env("BALANCER_CONSOLE", console.to_string())
-        .env("TMPDIR", folder)
-        .spawn()
-        .expect("the limiter starts")
+    send_signal(child.id(), Signal::SIGTERM).expect("the process runs");
 }
 
 /// One call to the console; its status.
@@ -180,13 +194,8 @@
         }
     }
 
-    pub fn signal(&self, name: &str) {
-        let kill = format!("kill -{name} {}", self.child.id());
-        assert!(Command::new("sh")
-            .args(["-c", &kill])
-            .status()
-            .expect("kill runs")
-            .success());
+    pub fn signal(&self, signal: Signal) {
+        send_signal(self.child.id(), signal).expect("the process runs");
     }
 
     pub fn call(&self, method: &str, path: &str, body: &str) -> u16 {
@@ -195,14 +204,20 @@
 
     /// Starts a second process beside this one, and waits until it says that it takes clients; the first one.
     pub fn upgrade(&mut self, number: u8) -> Child {
+        self.upgrade_to(Path::new(PROGRAM), number)
+    }
+
+    /// The same with another build of the program.
+    pub fn upgrade_to(&mut self, program: &Path, number: u8) -> Child {
         let console = SocketAddr::from(([127, 78, 1, number], self.console.port()));
-        let child = spawn(
-            &self.path,
-            self.address,
-            self.discovery,
+        let process = ProcessSettings {
+            path: &self.path,
+            listen: self.address,
+            discovery: self.discovery,
             console,
-            &self.folder,
-        );
+            folder: &self.folder,
+        };
+        let child = process.spawn(program);
         let since = Instant::now();
         while TcpStream::connect(console).is_err() || call(console, "GET", "/ready", "") != 200 {
             assert!(
@@ -216,7 +231,7 @@
     }
 
     pub fn terminate(&mut self) -> ExitStatus {
-        self.signal("TERM");
+        self.signal(Signal::SIGTERM);
         self.child.wait().expect("the limiter ends")
     }
 }
--- a/tests/side_by_side.rs
+++ b/tests/side_by_side.rs
@@ -5,9 +5,10 @@
 mod process;
 mod toy;
 
-use process::{ask, call, request, start, Limiter, CHECK};
+use process::{ask, request, send_sigterm, start, Limiter, CHECK};
 use std::net::{SocketAddr, TcpStream};
-use std::process::{Child, Command};
+use std::path::Path;
+use std::process::Child;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
@@ -17,36 +18,8 @@
 const ENOUGH: u64 = 100;
 const HOST: &str = r#"{"host":"toy-0"}"#;
 
-/// Starts a build beside the limiter's process and waits until it takes clients; the earlier process.
-fn hand_over(limiter: &mut Limiter, program: &str, number: u8) -> Child {
-    let console = SocketAddr::from(([127, 78, 2, number], limiter.console.port()));
-    let child = Command::new(program)
-        .env("BALANCER_CONFIG", &limiter.path)
-        .env("BALANCER_LISTEN", limiter.address.to_string())
-        .env("BALANCER_DISCOVERY", limiter.discovery.to_string())
-        .env("BALANCER_CONSOLE", console.to_string())
-        .env("TMPDIR", &limiter.folder)
-        .spawn()
-        .expect("the build starts");
-    let since = Instant::now();
-    while TcpStream::connect(console).is_err() || call(console, "GET", "/ready", "") != 200 {
-        assert!(
-            since.elapsed() < LONGEST_WAIT,
-            "the second process is not up"
-        );
-        std::thread::sleep(Duration::from_millis(2));
-    }
-    limiter.console = console;
-    std::mem::replace(&mut limiter.child, child)
-}
-
 fn end(mut process: Child) {
-    let kill = format!("kill -TERM {}", process.id());
-    assert!(Command::new("sh")
-        .args(["-c", &kill])
-        .status()
-        .expect("kill runs")
-        .success());
+    send_sigterm(&process);
     assert!(process.wait().expect("it ends").success());
 }
 
@@ -121,7 +94,7 @@
 /// Hands over while the host is in maintenance, which the later process must know from the earlier one.
 fn hand_over_maintenance(limiter: &mut Limiter, program: &str, number: u8) {
     assert_eq!(limiter.call("PUT", "/servers/disable", HOST), 200);
-    let earlier = hand_over(limiter, program, number + 2);
+    let earlier = limiter.upgrade_to(Path::new(program), number + 2);
     end(earlier);
     let mut stream = TcpStream::connect(limiter.address).expect("a process listens");
     let id = (100 + u64::from(number)) << 32;
@@ -150,7 +123,7 @@
         let builds = [(1, older.as_str()), (2, env!("CARGO_BIN_EXE_quartzcleat"))];
         // New to old and old to new while requests are forwarded.
         for (number, program) in builds {
-            let earlier = hand_over(&mut limiter, program, number);
+            let earlier = limiter.upgrade_to(Path::new(program), number);
             end(earlier);
             answers.wait_for_more();
         }
