--- a/crates/bench/src/deployments/baseline.rs
+++ b/crates/bench/src/deployments/baseline.rs
@@ -2,7 +2,8 @@
 //! are and will be.
 
 use super::quota::{priority_weight, ExactQuotas, Subscription};
-use quartzcleat_decision::api::{Nanos, Settings};
+use quartzcleat_decision::api::{ClassIndex, Nanos, Settings};
+use quartzcleat_invariants::HostIndex;
 use quartzcleat_simulation::scenario::{ClientRequest, Scenario, ScenarioEvent};
 
 #[cfg(test)]
@@ -32,7 +33,7 @@
 #[derive(Clone, Copy)]
 struct Placement {
     end: Nanos,
-    host: usize,
+    host: HostIndex,
     core: usize,
 }
 
@@ -63,7 +64,7 @@
 
 fn weight_per_work(scenario: &Scenario, ask: &ClientRequest) -> f64 {
     priority_weight(&scenario.ground_truth, ask.class, ask.plan, 0)
-        / scenario.work[ask.class] as f64
+        / scenario.work[ask.class.as_usize()] as f64
 }
 
 /// Zero and the quantiles of weight per work.
@@ -83,8 +84,8 @@
 }
 
 /// The uptimes of a host, from the scenario's events.
-fn uptimes(scenario: &Scenario, host: usize) -> Vec<Uptime> {
-    let speed = scenario.hosts[host].speed;
+fn uptimes(scenario: &Scenario, host: HostIndex) -> Vec<Uptime> {
+    let speed = scenario.hosts[host.0].speed;
     let mut uptimes = Vec::new();
     let mut current = Some(Uptime {
         from: 0,
@@ -114,7 +115,7 @@
 }
 
 /// The events that concern a host, in the order of their times.
-fn host_events(scenario: &Scenario, host: usize) -> Vec<(Nanos, &ScenarioEvent)> {
+fn host_events(scenario: &Scenario, host: HostIndex) -> Vec<(Nanos, &ScenarioEvent)> {
     let concerns_host = |event: &ScenarioEvent| {
         matches!(event, ScenarioEvent::KillHost(other) | ScenarioEvent::IsolateHost(other) | ScenarioEvent::StartHost(other)
             | ScenarioEvent::DrainHost(other) | ScenarioEvent::SetHostSpeed { host: other, .. } if *other == host)
@@ -147,7 +148,9 @@
         Schedule {
             scenario,
             settings: &scenario.ground_truth,
-            uptimes: hosts.map(|host| uptimes(scenario, host)).collect(),
+            uptimes: hosts
+                .map(|host| uptimes(scenario, HostIndex(host)))
+                .collect(),
             idle_at: cores.map(|cores| vec![0; cores]).collect(),
             quotas: ExactQuotas::default(),
         }
@@ -177,7 +180,7 @@
             customer: ask.partner,
             plan: ask.plan,
         };
-        let plan = &self.settings.plans[ask.plan as usize];
+        let plan = &self.settings.plans[ask.plan.as_usize()];
         let within_quota = self.quotas.take(self.settings, subscription, ask.units, at);
         let quota_factor = if within_quota {
             1.0
@@ -187,12 +190,12 @@
         if quota_factor <= 0.0 {
             return 0.0;
         }
-        self.idle_at[placement.host][placement.core] = placement.end;
+        self.idle_at[placement.host.0][placement.core] = placement.end;
         weight * quota_factor
     }
 
     /// The core that finishes a request of a class first.
-    fn first_to_finish(&self, now: Nanos, class: usize) -> Option<Placement> {
+    fn first_to_finish(&self, now: Nanos, class: ClassIndex) -> Option<Placement> {
         let mut best: Option<Placement> = None;
         for (host, cores) in self.idle_at.iter().enumerate() {
             let Some((core, idle_at)) = cores.iter().enumerate().min_by_key(|(_, at)| **at) else {
@@ -202,7 +205,11 @@
                 let begin = (*idle_at).max(now).max(uptime.from);
                 let end = begin + self.execution_time(uptime, begin, class);
                 if end < uptime.to && best.is_none_or(|best| end < best.end) {
-                    best = Some(Placement { end, host, core });
+                    best = Some(Placement {
+                        end,
+                        host: HostIndex(host),
+                        core,
+                    });
                 }
             }
         }
@@ -210,7 +217,7 @@
     }
 
     /// The time that a request takes when it begins at a time, slowed down during the host's slow start.
-    fn execution_time(&self, uptime: &Uptime, begin: Nanos, class: usize) -> Nanos {
+    fn execution_time(&self, uptime: &Uptime, begin: Nanos, class: ClassIndex) -> Nanos {
         let settings = self.settings;
         let age =
             (begin - uptime.started.min(begin)) as f64 / settings.slow_start.duration.max(1) as f64;
@@ -221,6 +228,6 @@
         } else {
             1.0
         };
-        (self.scenario.work[class] as f64 / (uptime.speed * warmth)) as Nanos
+        (self.scenario.work[class.as_usize()] as f64 / (uptime.speed * warmth)) as Nanos
     }
 }
--- a/crates/bench/src/deployments/generate/clients.rs
+++ b/crates/bench/src/deployments/generate/clients.rs
@@ -2,7 +2,8 @@
 
 use super::random::Random;
 use super::{nanos, LOAD_SECONDS};
-use quartzcleat_decision::api::{Nanos, Settings};
+use quartzcleat_decision::api::{ClassIndex, LimiterIndex, Nanos, PlanIndex, Settings};
+use quartzcleat_invariants::PartnerIndex;
 use quartzcleat_simulation::scenario::{ClientRequest, LimiterSet};
 use rand::RngExt;
 use rand_distr::{Distribution, Exp, LogNormal};
@@ -37,8 +38,8 @@
 
 /// A customer's habits.
 struct Customer {
-    index: usize,
-    plan: usize,
+    index: PartnerIndex,
+    plan: PlanIndex,
     /// The limiters that the customer uses, from `first_limiter` on.
     limiter_spread: u32,
     first_limiter: u32,
@@ -52,8 +53,8 @@
 }
 
 impl Customer {
-    fn generate(random: &mut Random, settings: &Settings, index: usize) -> Self {
-        let plan = random.0.random_range(0..settings.plans.len());
+    fn generate(random: &mut Random, settings: &Settings, index: PartnerIndex) -> Self {
+        let plan = PlanIndex::from_usize(random.0.random_range(0..settings.plans.len()));
         let limiter_spread = random.count(1, settings.limiters.count);
         let first_limiter = random.0.random_range(0..settings.limiters.count);
         let habit = random.uniform(0.0, 1.0);
@@ -79,7 +80,7 @@
     /// Requests per second while the customer sends.
     fn request_rate(&self, settings: &Settings) -> f64 {
         let sending_share = if self.bursty { self.burst_share } else { 1.0 };
-        settings.plans[self.plan].rate * self.usage / sending_share
+        settings.plans[self.plan.as_usize()].rate * self.usage / sending_share
     }
 
     /// Whether the customer is silent at a time, between two bursts.
@@ -124,15 +125,15 @@
         let limiter = self.first_limiter + random.0.random_range(0..self.limiter_spread);
         ClientRequest {
             operation,
-            class,
+            class: ClassIndex::from_usize(class),
             partner: self.index,
-            plan: self.plan as u32,
+            plan: self.plan,
             units: units.clamp(MIN_UNITS, settings.units.largest_request),
             true_units: 0.0,
-            limiter: (limiter % settings.limiters.count) as usize,
+            limiter: LimiterIndex(limiter % settings.limiters.count),
             limiter_set: LimiterSet {
                 count: self.limiter_spread,
-                first: self.first_limiter,
+                first: LimiterIndex(self.first_limiter),
             },
             timeout: settings.classes[class].deadline,
             retry: false,
@@ -152,8 +153,8 @@
     let mut filled_cores = 0.0;
     let mean_work = work.iter().sum::<u64>() as f64 / 1e9 / work.len().max(1) as f64;
     while filled_cores < cores && requests.len() < MAX_REQUESTS {
-        let customer = Customer::generate(random, settings, customers);
-        let rate = settings.plans[customer.plan].rate;
+        let customer = Customer::generate(random, settings, PartnerIndex(customers));
+        let rate = settings.plans[customer.plan.as_usize()].rate;
         filled_cores += customer.usage.min(MAX_COUNTED_USAGE) * rate * mean_work;
         let request_rate = customer.request_rate(settings).max(MIN_REQUEST_RATE);
         let Ok(gap) = Exp::new(request_rate) else {
--- a/crates/bench/src/deployments/generate/incident.rs
+++ b/crates/bench/src/deployments/generate/incident.rs
@@ -2,7 +2,8 @@
 
 use super::random::Random;
 use super::{nanos, step, NANOS_PER_MS};
-use quartzcleat_decision::api::Nanos;
+use quartzcleat_decision::api::{LimiterIndex, Nanos};
+use quartzcleat_invariants::HostIndex;
 use quartzcleat_simulation::scenario::{CounterMode, ScenarioEvent, Step};
 use std::fmt;
 
@@ -123,7 +124,7 @@
     pub fn steps(&self) -> Vec<Step> {
         let mut steps = Vec::new();
         for host in 0..self.hosts {
-            steps.extend(self.host_steps(host));
+            steps.extend(self.host_steps(HostIndex(host)));
         }
         if let Some(event) = self.incident.counter_event() {
             steps.push(step(self.begin, event));
@@ -133,8 +134,8 @@
             ));
         }
         if self.incident == Incident::LimitersRestart {
-            for limiter in 0..self.limiters {
-                let at = self.begin + limiter as Nanos * LIMITER_INTERVAL;
+            for limiter in (0..self.limiters).map(LimiterIndex::from_usize) {
+                let at = self.begin + Nanos::from(limiter.0) * LIMITER_INTERVAL;
                 steps.push(step(at, ScenarioEvent::KillLimiter(limiter)));
                 let restart = at + LIMITER_RESTART_TIME;
                 steps.push(step(restart, ScenarioEvent::StartLimiter(limiter)));
@@ -143,8 +144,8 @@
         steps
     }
 
-    fn host_steps(&self, host: usize) -> Vec<Step> {
-        let staggered = self.begin + host as Nanos * HOST_INTERVAL;
+    fn host_steps(&self, host: HostIndex) -> Vec<Step> {
+        let staggered = self.begin + host.0 as Nanos * HOST_INTERVAL;
         match self.incident {
             Incident::HostsVanish => vec![
                 step(self.begin, ScenarioEvent::IsolateHost(host)),
--- a/crates/bench/src/deployments/generate/mod.rs
+++ b/crates/bench/src/deployments/generate/mod.rs
@@ -10,7 +10,7 @@
 
 use clients::{client_load, ClientLoad};
 use incident::ScheduledIncident;
-use quartzcleat_decision::api::{Nanos, Settings};
+use quartzcleat_decision::api::{CellId, Nanos, Settings, ZoneId};
 use quartzcleat_invariants::{Process, Processes};
 use quartzcleat_simulation::scenario::{
     AttemptOutcome, CounterCallOutcome, CounterMode, CounterSetup, HostSetup, NetworkDelays,
@@ -61,8 +61,8 @@
     fn processes(&self, settings: &Settings, customers: usize) -> Processes {
         let process = |prefix: &str, number: u32| Process {
             name: format!("{prefix}{number}"),
-            zone: number % self.zones,
-            cell: number / HOSTS_PER_CELL,
+            zone: ZoneId(number % self.zones),
+            cell: CellId(number / HOSTS_PER_CELL),
         };
         let classes = settings.classes.iter().map(|class| class.name.clone());
         Processes {
--- a/crates/bench/src/deployments/judge.rs
+++ b/crates/bench/src/deployments/judge.rs
@@ -3,8 +3,8 @@
 use super::baseline::served_value;
 use super::generate::{generate, Deployment};
 use super::quota::{priority_weight, ExactQuotas, Subscription};
-use quartzcleat_decision::api::{Nanos, RequestId, Settings};
-use quartzcleat_invariants::{check, Answer, Fact, InvariantLimits, Record};
+use quartzcleat_decision::api::{AttemptIndex, ClassIndex, Nanos, PlanIndex, RequestId, Settings};
+use quartzcleat_invariants::{check, Answer, Fact, InvariantLimits, PartnerIndex, Record};
 use quartzcleat_simulation::scenario::{ScenarioEvent, Step};
 use quartzcleat_simulation::{oracle::FirstOption, simulate};
 use std::collections::BTreeMap;
@@ -76,8 +76,8 @@
 /// An operation that a client wants executed, as far as it went.
 struct Operation {
     begun: Nanos,
-    class: usize,
-    plan: u32,
+    class: ClassIndex,
+    plan: PlanIndex,
     requested_within_quota: bool,
     attempted: bool,
     served: bool,
@@ -86,7 +86,7 @@
 /// A request for an operation.
 struct Request {
     operation: u64,
-    customer: usize,
+    customer: PartnerIndex,
     units: f64,
     /// Whether its first attempt was within the customer's quota; none before that.
     attempted_within_quota: Option<bool>,
@@ -96,7 +96,7 @@
 struct Ledger<'a> {
     settings: &'a Settings,
     /// The plan of each operation.
-    plans: BTreeMap<u64, u32>,
+    plans: BTreeMap<u64, PlanIndex>,
     operations: BTreeMap<u64, Operation>,
     requests: BTreeMap<RequestId, Request>,
     /// Exact quotas of what is requested.
@@ -146,7 +146,7 @@
             }
             Fact::AttemptSent {
                 request,
-                attempt: 0,
+                attempt: AttemptIndex(0),
                 ..
             } => self.add_attempt(request, record.at),
             Fact::Answered {
@@ -158,11 +158,15 @@
     }
 
     /// Adds the operation of its first request.
-    fn add_operation(&mut self, request: &Request, class: usize, now: Nanos) {
+    fn add_operation(&mut self, request: &Request, class: ClassIndex, now: Nanos) {
         if self.operations.contains_key(&request.operation) {
             return;
         }
-        let plan = self.plans.get(&request.operation).copied().unwrap_or(0);
+        let plan = self
+            .plans
+            .get(&request.operation)
+            .copied()
+            .unwrap_or_default();
         let subscription = Subscription {
             customer: request.customer,
             plan,
@@ -201,7 +205,7 @@
             .take(self.settings, subscription, request.units, now);
         request.attempted_within_quota = Some(within_quota);
         if !within_quota {
-            let plan = &self.settings.plans[operation.plan as usize];
+            let plan = &self.settings.plans[operation.plan.as_usize()];
             let weight = priority_weight(self.settings, operation.class, operation.plan, 0);
             self.beyond_quotas += weight * plan.over_quota_cost;
         }
@@ -224,7 +228,7 @@
         let quota_factor = if request.attempted_within_quota.unwrap_or(true) {
             1.0
         } else {
-            self.settings.plans[operation.plan as usize].over_quota_weight
+            self.settings.plans[operation.plan.as_usize()].over_quota_weight
         };
         self.served += weight * quota_factor;
     }
--- a/crates/bench/src/deployments/quota.rs
+++ b/crates/bench/src/deployments/quota.rs
@@ -1,6 +1,7 @@
 //! Exact quotas of customers and the value of answers, as a baseline knows them.
 
-use quartzcleat_decision::api::{Nanos, Settings};
+use quartzcleat_decision::api::{ClassIndex, Nanos, PlanIndex, Settings};
+use quartzcleat_invariants::PartnerIndex;
 use std::collections::BTreeMap;
 
 #[cfg(test)]
@@ -13,9 +14,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Subscription {
     /// The customer.
-    pub customer: usize,
+    pub customer: PartnerIndex,
     /// The plan.
-    pub plan: u32,
+    pub plan: PlanIndex,
 }
 
 /// The exact quota of one customer.
@@ -27,7 +28,7 @@
 
 /// Exact quotas of all customers: each refills at the plan's rate and holds at most its burst.
 #[derive(Clone, Debug, Default)]
-pub struct ExactQuotas(BTreeMap<usize, Bucket>);
+pub struct ExactQuotas(BTreeMap<PartnerIndex, Bucket>);
 
 impl ExactQuotas {
     /// Takes units out of a customer's quota at a time; false where it does not hold them.
@@ -38,7 +39,7 @@
         units: f64,
         now: Nanos,
     ) -> bool {
-        let plan = &settings.plans[subscription.plan as usize];
+        let plan = &settings.plans[subscription.plan.as_usize()];
         let bucket = self.0.entry(subscription.customer).or_insert(Bucket {
             units: plan.burst,
             refilled_at: now,
@@ -55,9 +56,14 @@
 }
 
 /// The priority weight of an answer after some time.
-pub fn priority_weight(settings: &Settings, class: usize, plan: u32, elapsed: Nanos) -> f64 {
-    let class = &settings.classes[class];
-    let plan = &settings.plans[plan as usize];
+pub fn priority_weight(
+    settings: &Settings,
+    class: ClassIndex,
+    plan: PlanIndex,
+    elapsed: Nanos,
+) -> f64 {
+    let class = &settings.classes[class.as_usize()];
+    let plan = &settings.plans[plan.as_usize()];
     let lateness_factor = if elapsed <= class.latency_objective {
         1.0
     } else {
--- a/crates/bench/src/deployments/quota/tests.rs
+++ b/crates/bench/src/deployments/quota/tests.rs
@@ -13,7 +13,10 @@
         }],
         ..Settings::default()
     };
-    let subscription = |customer| Subscription { customer, plan: 0 };
+    let subscription = |customer| Subscription {
+        customer: PartnerIndex(customer),
+        plan: PlanIndex(0),
+    };
     let mut quotas = ExactQuotas::default();
     let granted: Vec<bool> = (0..8)
         .map(|quarter| {
--- a/crates/bench/src/pair.rs
+++ b/crates/bench/src/pair.rs
@@ -4,10 +4,10 @@
 use crate::spread::Spread;
 use clap::Args;
 use quartzcleat_config::Deployment;
-use quartzcleat_decision::api::{Nanos, Settings};
+use quartzcleat_decision::api::{ClassIndex, LimiterIndex, Nanos, Settings};
 use quartzcleat_fakes::load::{load_scenario, request_step, LoadTopology, PLAN};
 use quartzcleat_fakes::{run_measured, Usage};
-use quartzcleat_invariants::{Answer, Fact, Record};
+use quartzcleat_invariants::{Answer, Fact, PartnerIndex, Record};
 use quartzcleat_simulation::scenario::{ClientRequest, LimiterSet, Scenario};
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -132,13 +132,16 @@
 fn request(number: u64) -> ClientRequest {
     ClientRequest {
         operation: number + 1,
-        class: (number % 2) as usize,
-        partner: (number % CUSTOMERS) as usize,
+        class: ClassIndex((number % 2) as u32),
+        partner: PartnerIndex((number % CUSTOMERS) as usize),
         plan: PLAN,
         units: 1.0,
         true_units: 0.0,
-        limiter: 0,
-        limiter_set: LimiterSet { count: 1, first: 0 },
+        limiter: LimiterIndex(0),
+        limiter_set: LimiterSet {
+            count: 1,
+            first: LimiterIndex(0),
+        },
         timeout: CLIENT_DEADLINE,
         retry: false,
     }
--- a/crates/expectations/src/check/vacuity.rs
+++ b/crates/expectations/src/check/vacuity.rs
@@ -8,6 +8,7 @@
 use quartzcleat_config::quantity;
 use quartzcleat_config::tree::{Content, Node};
 use quartzcleat_config::Deployment;
+use quartzcleat_decision::api::{PlanIndex, ZoneId};
 use quartzcleat_simulation::scenario::{
     AttemptOutcome, CounterCallOutcome, CounterMode, HostSetup, Scenario, ScenarioEvent, Step,
 };
@@ -146,12 +147,12 @@
         }),
         with(|scenario| {
             for host in &mut scenario.processes.hosts {
-                host.zone += 1;
+                host.zone.0 += 1;
             }
         }),
         with(|scenario| {
             for host in &mut scenario.processes.hosts {
-                host.zone = 0;
+                host.zone = ZoneId(0);
             }
         }),
     ]
@@ -181,7 +182,7 @@
         .collect()
 }
 
-fn plans_of(compiled: &CompiledExpectation) -> BTreeSet<u32> {
+fn plans_of(compiled: &CompiledExpectation) -> BTreeSet<PlanIndex> {
     let steps = compiled.scenario.steps.iter();
     steps
         .filter_map(|step| match &step.event {
--- a/crates/expectations/src/compile/given.rs
+++ b/crates/expectations/src/compile/given.rs
@@ -6,7 +6,7 @@
 use quartzcleat_config::reader::{flag, one_of, text};
 use quartzcleat_config::tree::{Content, Entry, Node};
 use quartzcleat_config::{quantity, Faults, Reader};
-use quartzcleat_decision::api::Nanos;
+use quartzcleat_decision::api::{LimiterIndex, Nanos, PlanIndex};
 use quartzcleat_simulation::scenario::{
     AttemptOutcome, CounterCallOutcome, CounterMode, CounterSetup, LimiterSet, RetryPolicy,
     Scenario,
@@ -47,8 +47,8 @@
 /// A partner: its plan, and the limiters through which its requests come.
 #[derive(Clone, Debug)]
 pub(super) struct Partner {
-    pub(super) plan: u32,
-    pub(super) limiters: Vec<usize>,
+    pub(super) plan: PlanIndex,
+    pub(super) limiters: Vec<LimiterIndex>,
     pub(super) limiter_set: LimiterSet,
 }
 
@@ -73,7 +73,7 @@
             let limiters = map.take("through", faults, |node| self.limiters(node));
             map.end(faults);
             let limiter_count = self.processes.limiters.len();
-            let limiters = limiters.unwrap_or_else(|| (0..limiter_count).collect());
+            let limiters = limiters.unwrap_or_else(|| self.processes.limiter_indices().collect());
             if !are_consecutive(&limiters, limiter_count) {
                 let problem =
                     "limiters that do not follow one another; a partner's set goes round from its first";
@@ -81,10 +81,10 @@
                 continue;
             }
             let partner = Partner {
-                plan: plan.unwrap_or(0) as u32,
+                plan: PlanIndex::from_usize(plan.unwrap_or(0)),
                 limiter_set: LimiterSet {
                     count: limiters.len() as u32,
-                    first: limiters[0] as u32,
+                    first: limiters[0],
                 },
                 limiters,
             };
@@ -147,8 +147,10 @@
 }
 
 /// Whether limiters are consecutive indices, modulo the number of all limiters, and there is one at all.
-fn are_consecutive(limiters: &[usize], limiter_count: usize) -> bool {
-    let follows = |pair: &[usize]| pair[1] == (pair[0] + 1) % limiter_count.max(1);
+fn are_consecutive(limiters: &[LimiterIndex], limiter_count: usize) -> bool {
+    let follows = |pair: &[LimiterIndex]| {
+        pair[1].as_usize() == (pair[0].as_usize() + 1) % limiter_count.max(1)
+    };
     !limiters.is_empty() && limiters.windows(2).all(follows)
 }
 
--- a/crates/expectations/src/compile/installation.rs
+++ b/crates/expectations/src/compile/installation.rs
@@ -4,7 +4,9 @@
 use quartzcleat_config::reader::{flag, list};
 use quartzcleat_config::tree::{Content, Entry, Node, Place};
 use quartzcleat_config::{quantity, Deployment, Faults, Reader};
-use quartzcleat_decision::api::{Class, DedupScope, Effect, HostState, Nanos, Settings};
+use quartzcleat_decision::api::{
+    CellId, Class, DedupScope, Effect, HostState, Nanos, Settings, ZoneId,
+};
 use quartzcleat_invariants::{Process, Processes};
 use quartzcleat_simulation::scenario::{HostSetup, NetworkDelays};
 use std::collections::BTreeSet;
@@ -153,9 +155,9 @@
             let zones = &self.processes.zones;
             let zone = map.take("room", faults, |node| index_of(node, zones, "room"));
             let host = &mut self.processes.hosts[index];
-            replace(&mut host.zone, zone.map(|zone| zone as u32));
+            replace(&mut host.zone, zone.map(ZoneId::from_usize));
             let cell = map.take("cell", faults, |node| quantity::count(node, 0..=1_000_000));
-            replace(&mut host.cell, cell.map(|cell| cell as u32));
+            replace(&mut host.cell, cell.map(|cell| CellId(cell as u32)));
             read_host_setup(&mut map, &mut self.hosts[index], faults);
             map.end(faults);
         }
@@ -242,8 +244,8 @@
         match index_of(zone, zones, "room") {
             Ok(zone) => limiters.push(Process {
                 name: name.clone(),
-                zone: zone as u32,
-                cell: 0,
+                zone: ZoneId::from_usize(zone),
+                cell: CellId(0),
             }),
             Err(problem) => {
                 faults.add(file, *place, format!("limiters.{name}"), problem);
--- a/crates/expectations/src/compile/reading.rs
+++ b/crates/expectations/src/compile/reading.rs
@@ -5,8 +5,8 @@
 use quartzcleat_config::reader::{list, one_of, text};
 use quartzcleat_config::tree::{Content, Entry, Node};
 use quartzcleat_config::{formula, Faults};
-use quartzcleat_decision::api::Nanos;
-use quartzcleat_invariants::Process;
+use quartzcleat_decision::api::{ClassIndex, LimiterIndex, Nanos};
+use quartzcleat_invariants::{HostIndex, PartnerIndex, Process};
 use std::sync::Arc;
 
 /// The members of a map whose keys are names.
@@ -154,30 +154,33 @@
     }
 
     /// A class by its name.
-    pub(super) fn class(&self, node: &Node) -> Result<usize, ValueError> {
-        index_of(node, &self.processes.classes, "class")
+    pub(super) fn class(&self, node: &Node) -> Result<ClassIndex, ValueError> {
+        index_of(node, &self.processes.classes, "class").map(ClassIndex::from_usize)
     }
 
     /// One partner or a list of them, by name.
-    pub(super) fn partners<C: FromIterator<usize>>(&self, node: &Node) -> Result<C, ValueError> {
+    pub(super) fn partners<C: FromIterator<PartnerIndex>>(
+        &self,
+        node: &Node,
+    ) -> Result<C, ValueError> {
         list(node)
             .iter()
-            .map(|node| index_of(node, &self.processes.partners, "partner"))
+            .map(|node| index_of(node, &self.processes.partners, "partner").map(PartnerIndex))
             .collect()
     }
 
     /// A limiter by its name.
-    pub(super) fn limiter(&self, node: &Node) -> Result<usize, ValueError> {
-        index_of_process(node, &self.processes.limiters, "limiter")
+    pub(super) fn limiter(&self, node: &Node) -> Result<LimiterIndex, ValueError> {
+        index_of_process(node, &self.processes.limiters, "limiter").map(LimiterIndex::from_usize)
     }
 
     /// One limiter or a list of them, by name.
-    pub(super) fn limiters(&self, node: &Node) -> Result<Vec<usize>, ValueError> {
+    pub(super) fn limiters(&self, node: &Node) -> Result<Vec<LimiterIndex>, ValueError> {
         list(node).iter().map(|node| self.limiter(node)).collect()
     }
 
     /// A host by its name.
-    pub(super) fn host(&self, node: &Node) -> Result<usize, ValueError> {
-        index_of_process(node, &self.processes.hosts, "node")
+    pub(super) fn host(&self, node: &Node) -> Result<HostIndex, ValueError> {
+        index_of_process(node, &self.processes.hosts, "node").map(HostIndex)
     }
 }
--- a/crates/expectations/src/compile/requests.rs
+++ b/crates/expectations/src/compile/requests.rs
@@ -6,7 +6,8 @@
 use quartzcleat_config::reader::text;
 use quartzcleat_config::tree::Node;
 use quartzcleat_config::{Faults, Reader};
-use quartzcleat_decision::api::Nanos;
+use quartzcleat_decision::api::{ClassIndex, LimiterIndex, Nanos};
+use quartzcleat_invariants::PartnerIndex;
 use quartzcleat_simulation::scenario::ClientRequest;
 
 /// A request and its delay after the step's moment.
@@ -20,11 +21,11 @@
     kind: RequestKind,
     /// The class of first requests, or the mark of the operation that is retried.
     name: Option<String>,
-    class: usize,
+    class: ClassIndex,
     /// The partners in turn.
-    partners: Vec<usize>,
+    partners: Vec<PartnerIndex>,
     /// The limiters in turn; `None` or empty for those of the partner.
-    limiters: Option<Vec<usize>>,
+    limiters: Option<Vec<LimiterIndex>>,
     /// The units in turn.
     units: Option<Vec<f64>>,
     true_units: f64,
@@ -72,7 +73,8 @@
             RequestKind::First => map.take("request", faults, |node| self.class(node)),
             RequestKind::Retry => map.need("class", faults, |node| self.class(node)),
         };
-        let partners: Option<Vec<usize>> = map.need("from", faults, |node| self.partners(node));
+        let partners: Option<Vec<PartnerIndex>> =
+            map.need("from", faults, |node| self.partners(node));
         let limiters = map.take("through", faults, |node| self.limiters(node));
         let units = map.take("units", faults, |node| self.units(node));
         let true_units = map.take("cost", faults, |node| self.number(node));
@@ -134,12 +136,12 @@
         faults: &mut Faults,
     ) -> Option<ClientRequest> {
         let partner_index = in_turn(&template.partners, number);
-        let partner = &self.partners[partner_index];
+        let partner = &self.partners[partner_index.0];
         let limiters = template.limiters.as_ref().unwrap_or(&partner.limiters);
         let limiter = in_turn(limiters, number);
         if !partner.limiters.contains(&limiter) {
             let limiter = self.processes.limiter(limiter);
-            let partner = &self.processes.partners[partner_index];
+            let partner = &self.processes.partners[partner_index.0];
             map.fault(
                 "through",
                 format!("{limiter} is not of {partner}'s set"),
@@ -150,7 +152,7 @@
         let plan = partner.plan;
         let limiter_set = partner.limiter_set;
         let operation = self.operation_of(template, map, faults)?;
-        let deadline = self.deployment.settings.classes[template.class].deadline;
+        let deadline = self.deployment.settings.classes[template.class.as_usize()].deadline;
         Some(ClientRequest {
             operation,
             class: template.class,
--- a/crates/expectations/src/compile/requirements.rs
+++ b/crates/expectations/src/compile/requirements.rs
@@ -10,6 +10,7 @@
 use quartzcleat_config::tree::{Content, Node};
 use quartzcleat_config::{quantity, Faults, Reader};
 use quartzcleat_decision::api::{HostState, Nanos};
+use quartzcleat_invariants::HostIndex;
 use std::sync::Arc;
 
 /// The keys that tell what a requirement demands.
@@ -45,7 +46,7 @@
 /// Bounds, and the host that a share is of, where one is named.
 struct HostBounds {
     bounds: Bounds,
-    host: Option<usize>,
+    host: Option<HostIndex>,
 }
 
 /// A requirement's place in its file.
@@ -179,7 +180,8 @@
         let words = text(node)?;
         if let Some(name) = words.strip_prefix("reaches node ") {
             let names = process_names(&self.processes.hosts);
-            return index_of_name(name, &names, "node").map(RequestEvent::ReachesHost);
+            return index_of_name(name, &names, "node")
+                .map(|host| RequestEvent::ReachesHost(HostIndex(host)));
         }
         let reaches = |state| RequestEvent::ReachesUnavailableHost { state, grace };
         let events = [
--- a/crates/expectations/src/compile/steps.rs
+++ b/crates/expectations/src/compile/steps.rs
@@ -7,6 +7,7 @@
 use quartzcleat_config::reader::text;
 use quartzcleat_config::tree::Node;
 use quartzcleat_config::{quantity, Faults, Reader};
+use quartzcleat_invariants::HostIndex;
 use quartzcleat_simulation::scenario::{ScenarioEvent, Step};
 use std::sync::Arc;
 
@@ -86,7 +87,7 @@
         map: &mut Reader<'_>,
         faults: &mut Faults,
     ) -> Option<ScenarioEvent> {
-        let host_event: fn(usize) -> ScenarioEvent = match kind {
+        let host_event: fn(HostIndex) -> ScenarioEvent = match kind {
             "drain" => ScenarioEvent::DrainHost,
             "die" => ScenarioEvent::KillHost,
             "vanish" => ScenarioEvent::IsolateHost,
@@ -128,7 +129,7 @@
         let old = map.take("replace", faults, |node| self.host(node));
         let new = map.need("by", faults, |node| self.host(node));
         let (old, new) = (old?, new?);
-        if !self.hosts[new].absent || old == new {
+        if !self.hosts[new.0].absent || old == new {
             map.fault("by", "is there already; give it absent: true", faults);
             return None;
         }
--- a/crates/expectations/src/history.rs
+++ b/crates/expectations/src/history.rs
@@ -1,8 +1,8 @@
 //! The history of a run by request, gathered from its records in one pass.
 
 use crate::requirement::{RequestFilter, RequestKind};
-use quartzcleat_decision::api::{HostState, Nanos, Outcome, RequestId};
-use quartzcleat_invariants::{Answer, Fact, Processes, Record};
+use quartzcleat_decision::api::{ClassIndex, HostState, LimiterIndex, Nanos, Outcome, RequestId};
+use quartzcleat_invariants::{Answer, Fact, HostIndex, PartnerIndex, Processes, Record};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A final answer and its time.
@@ -34,7 +34,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SentAttempt {
     pub(crate) at: Nanos,
-    pub(crate) host: usize,
+    pub(crate) host: HostIndex,
     pub(crate) is_host_warming_up: bool,
     pub(crate) is_cross_zone: bool,
     /// What the limiter knew of the host.
@@ -46,9 +46,9 @@
 #[derive(Clone, Debug)]
 pub(crate) struct RequestHistory {
     pub(crate) id: RequestId,
-    limiter: usize,
-    class: usize,
-    partner: usize,
+    limiter: LimiterIndex,
+    class: ClassIndex,
+    partner: PartnerIndex,
     kind: RequestKind,
     pub(crate) operation: u64,
     pub(crate) units: f64,
@@ -128,8 +128,8 @@
 /// A host from the view of a limiter.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct LimiterHost {
-    limiter: usize,
-    host: usize,
+    limiter: LimiterIndex,
+    host: HostIndex,
 }
 
 struct HistoryBuilder<'a> {
@@ -139,7 +139,7 @@
     positions: BTreeMap<RequestId, usize>,
     operations: BTreeSet<u64>,
     known_states: BTreeMap<LimiterHost, KnownState>,
-    warming_up: BTreeSet<usize>,
+    warming_up: BTreeSet<HostIndex>,
 }
 
 impl<'a> HistoryBuilder<'a> {
@@ -248,7 +248,13 @@
         });
     }
 
-    fn learn_host_state(&mut self, at: Nanos, limiter: usize, host: usize, state: HostState) {
+    fn learn_host_state(
+        &mut self,
+        at: Nanos,
+        limiter: LimiterIndex,
+        host: HostIndex,
+        state: HostState,
+    ) {
         let key = LimiterHost { limiter, host };
         let known = self.known_states.get(&key).map(|known| known.state);
         if known != Some(state) {
@@ -260,9 +266,9 @@
     fn add_attempt(
         &mut self,
         at: Nanos,
-        limiter: usize,
+        limiter: LimiterIndex,
         request: RequestId,
-        host: usize,
+        host: HostIndex,
         is_host_warming_up: bool,
     ) {
         if is_host_warming_up {
@@ -284,18 +290,18 @@
         }
     }
 
-    fn is_cross_zone(&self, limiter: usize, host: usize) -> bool {
-        let host_zone = self.processes.hosts.get(host).map(|host| host.zone);
+    fn is_cross_zone(&self, limiter: LimiterIndex, host: HostIndex) -> bool {
+        let host_zone = self.processes.hosts.get(host.0).map(|host| host.zone);
         let own_zone = self
             .processes
             .limiters
-            .get(limiter)
+            .get(limiter.as_usize())
             .map(|limiter| limiter.zone);
         host_zone != own_zone
     }
 
-    fn known_hosts(&self, limiter: usize) -> KnownHosts {
-        let has = |state: HostState, is_meant: &dyn Fn(usize) -> bool| {
+    fn known_hosts(&self, limiter: LimiterIndex) -> KnownHosts {
+        let has = |state: HostState, is_meant: &dyn Fn(HostIndex) -> bool| {
             self.known_states.iter().any(|(key, known)| {
                 key.limiter == limiter && known.state == state && is_meant(key.host)
             })
--- a/crates/expectations/src/requirement.rs
+++ b/crates/expectations/src/requirement.rs
@@ -1,6 +1,7 @@
 //! Requirements: what an expectation demands of a run, as plain data.
 
-use quartzcleat_decision::api::{HostState, Nanos};
+use quartzcleat_decision::api::{ClassIndex, HostState, LimiterIndex, Nanos};
+use quartzcleat_invariants::{HostIndex, PartnerIndex};
 use std::collections::BTreeSet;
 
 /// Whether a request is the first one for its operation.
@@ -16,11 +17,11 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RequestFilter {
     /// Their class.
-    pub class: Option<usize>,
+    pub class: Option<ClassIndex>,
     /// Their partners.
-    pub partners: Option<BTreeSet<usize>>,
+    pub partners: Option<BTreeSet<PartnerIndex>>,
     /// The limiter through which they come.
-    pub limiter: Option<usize>,
+    pub limiter: Option<LimiterIndex>,
     /// Their operation.
     pub operation: Option<u64>,
     /// Received no sooner than this after the start of the run.
@@ -44,7 +45,7 @@
     /// It is sent to a host that is warming up.
     ReachesWarmingUpHost,
     /// It is sent to this host.
-    ReachesHost(usize),
+    ReachesHost(HostIndex),
     /// It is sent to another zone than its limiter's.
     LeavesZone,
     /// Two of its attempts go to one host.
@@ -81,7 +82,7 @@
     /// Attempts to another zone.
     CrossZoneAttempts,
     /// Attempts to one host, as a share of all.
-    HostShare(usize),
+    HostShare(HostIndex),
 }
 
 /// Bounds of a value.
--- a/crates/fakes/src/client.rs
+++ b/crates/fakes/src/client.rs
@@ -85,10 +85,7 @@
     };
     if retry.next_limiter && ask.limiter_set.count > 1 {
         let limiters = context.scenario.processes.limiters.len();
-        let count = ask.limiter_set.count as usize;
-        let first = ask.limiter_set.first as usize;
-        let position = (ask.limiter + limiters - first) % limiters;
-        again.limiter = (first + (position + 1) % count) % limiters;
+        again.limiter = ask.limiter_set.next_after(ask.limiter, limiters);
     }
     again
 }
@@ -128,8 +125,8 @@
 /// A request in the platform's form.
 fn request_command(context: &Context, ask: &ClientRequest, id: RequestId) -> Vec<u8> {
     let settings = &context.scenario.settings;
-    let class = &settings.classes[ask.class];
-    let plan = settings.plans.get(ask.plan as usize);
+    let class = &settings.classes[ask.class.as_usize()];
+    let plan = settings.plans.get(ask.plan.as_usize());
     let plan = plan.map_or("", |plan| plan.name.as_str());
     let wait_ms = ask.timeout.div_ceil(NANOS_PER_MS);
     let mut facts = format!("c={},t={plan},d={wait_ms}", class.name);
@@ -145,7 +142,7 @@
     } else {
         "Q.DO"
     };
-    let customer = format!("{:016x}", ask.partner + 1);
+    let customer = format!("{:016x}", ask.partner.0 + 1);
     resp::encode_command(&[verb, &customer, &wire_id(id), &facts])
 }
 
--- a/crates/fakes/src/context.rs
+++ b/crates/fakes/src/context.rs
@@ -4,8 +4,8 @@
 use crate::limiter::Limiter;
 use crate::recorder::Recorder;
 use crate::state::{FakeCounter, FakeDiscovery, FakeHost};
-use quartzcleat_decision::api::{Nanos, Outcome, RequestId};
-use quartzcleat_invariants::{Answer, Fact, Record};
+use quartzcleat_decision::api::{ClassIndex, LimiterIndex, Nanos, Outcome, RequestId};
+use quartzcleat_invariants::{Answer, Fact, HostIndex, Record};
 use quartzcleat_simulation::host::HostStatus;
 use quartzcleat_simulation::oracle::ChoicePoint;
 use quartzcleat_simulation::scenario::{option_of_variant, Scenario};
@@ -18,7 +18,7 @@
 /// What the harness knows of a request.
 #[derive(Clone, Debug)]
 pub(crate) struct RequestState {
-    pub(crate) class: usize,
+    pub(crate) class: ClassIndex,
     /// The operation that the client wants executed; its requests share it.
     pub(crate) operation: u64,
     /// Attempts that have reached a host.
@@ -114,8 +114,8 @@
     }
 
     /// Ends a host's process or its machine. The end of a process resets its attempts.
-    pub(crate) fn end_host(&self, host: usize, status: HostStatus) {
-        self.hosts.borrow_mut()[host].end(status);
+    pub(crate) fn end_host(&self, host: HostIndex, status: HostStatus) {
+        self.hosts.borrow_mut()[host.0].end(status);
         if status != HostStatus::Dead {
             return;
         }
@@ -149,9 +149,9 @@
     }
 
     /// The one-way network delay between a limiter and a host.
-    pub(crate) fn network_delay(&self, limiter: usize, host: usize) -> Duration {
+    pub(crate) fn network_delay(&self, limiter: LimiterIndex, host: HostIndex) -> Duration {
         let processes = &self.scenario.processes;
-        let same_zone = processes.limiters[limiter].zone == processes.hosts[host].zone;
+        let same_zone = processes.limiters[limiter.as_usize()].zone == processes.hosts[host.0].zone;
         Duration::from_nanos(if same_zone {
             self.scenario.network.same_zone
         } else {
@@ -173,10 +173,10 @@
     }
 
     /// The address at which a limiter accepts clients, while its process runs.
-    pub(crate) fn limiter_address(&self, limiter: usize) -> Option<SocketAddr> {
+    pub(crate) fn limiter_address(&self, limiter: LimiterIndex) -> Option<SocketAddr> {
         let limiters = self.limiters.borrow();
         limiters
-            .get(limiter)
+            .get(limiter.as_usize())
             .filter(|limiter| limiter.process.is_running())
             .map(|limiter| limiter.addresses.listen)
     }
--- a/crates/fakes/src/endpoints.rs
+++ b/crates/fakes/src/endpoints.rs
@@ -1,8 +1,8 @@
 //! Hosts in the forms that limiters read: the endpoint list of discovery and the configuration file.
 
 use crate::context::Context;
-use quartzcleat_decision::api::HostState;
-use quartzcleat_decision::api::{LimiterIndex, ZoneId};
+use quartzcleat_decision::api::{HostState, LimiterIndex};
+use quartzcleat_invariants::HostIndex;
 use quartzcleat_simulation::host::HostStatus;
 use serde_json::{json, Value};
 
@@ -19,8 +19,8 @@
 }
 
 /// The state of a host as discovery reports it now.
-pub(crate) fn host_state(context: &Context, host: usize) -> HostState {
-    let model = &context.hosts.borrow()[host].model;
+pub(crate) fn host_state(context: &Context, host: HostIndex) -> HostState {
+    let model = &context.hosts.borrow()[host.0].model;
     match (model.status, model.draining) {
         (HostStatus::Dead, _) => HostState::Gone,
         (_, true) => HostState::Draining,
@@ -31,10 +31,10 @@
 /// An endpoint list in discovery's form, with the addresses that one limiter uses.
 pub(crate) fn endpoint_list(
     context: &Context,
-    limiter: usize,
+    limiter: LimiterIndex,
     generation: u64,
     kind: ListKind,
-    hosts: &[usize],
+    hosts: &[HostIndex],
 ) -> Value {
     let instances: Vec<Value> = hosts
         .iter()
@@ -47,46 +47,46 @@
     })
 }
 
-fn instance(context: &Context, limiter: usize, host: usize) -> Value {
+fn instance(context: &Context, limiter: LimiterIndex, host: HostIndex) -> Value {
     let processes = &context.scenario.processes;
-    let description = &processes.hosts[host];
-    let zone = processes.zones.get(description.zone as usize);
+    let description = &processes.hosts[host.0];
+    let zone = processes.zones.get(description.zone.as_usize());
     let lifecycle = match host_state(context, host) {
         HostState::Ready => "SERVING",
         HostState::Draining => "DRAINING",
         HostState::Gone => "DELETED",
     };
-    let fake = &context.hosts.borrow()[host];
+    let fake = &context.hosts.borrow()[host.0];
     json!({
         "instanceId": description.name,
-        "hostPort": fake.addresses[limiter].to_string(),
+        "hostPort": fake.addresses[limiter.as_usize()].to_string(),
         "zone": zone.map_or("a", String::as_str),
         "machineType": "node",
-        "cell": description.cell,
+        "cell": description.cell.0,
         "lifecycle": lifecycle,
-        "weight": context.scenario.hosts[host].weight,
+        "weight": context.scenario.hosts[host.0].weight,
         "startedAtMs": fake.model.started / 1_000_000,
     })
 }
 
 /// A limiter's configuration in the platform's form.
-pub(crate) fn limiter_config(context: &Context, limiter: usize) -> Value {
+pub(crate) fn limiter_config(context: &Context, limiter: LimiterIndex) -> Value {
     let scenario = &context.scenario;
     let mut settings = scenario.settings.clone();
-    settings.limiters.own_index = LimiterIndex::from_usize(limiter);
+    settings.limiters.own_index = limiter;
     settings.limiters.count = scenario.processes.limiters.len() as u32;
-    settings.limiters.own_zone = ZoneId(scenario.processes.limiters[limiter].zone);
-    let addresses = context.limiters.borrow()[limiter].addresses;
+    settings.limiters.own_zone = scenario.processes.limiters[limiter.as_usize()].zone;
+    let addresses = context.limiters.borrow()[limiter.as_usize()].addresses;
     let (listed, generation) = {
         let discovery = context.discovery.borrow();
         (discovery.listed(), discovery.generation())
     };
     json!({
-        "name": scenario.processes.limiters[limiter].name,
+        "name": scenario.processes.limiters[limiter.as_usize()].name,
         "listen": addresses.listen.to_string(),
         "discovery": addresses.discovery.to_string(),
         "counter": addresses.counter.to_string(),
-        "seed": format!("{:016x}", SEED_BASE + limiter as u64),
+        "seed": format!("{:016x}", SEED_BASE + u64::from(limiter.0)),
         "limits": { "cores": 1.0, "memory_mb": 64, "sockets": 512 },
         "known": endpoint_list(context, limiter, generation, ListKind::Full, &listed),
         "settings": quartzcleat_config::platform::encode(&settings, &scenario.processes.zones),
--- a/crates/fakes/src/events.rs
+++ b/crates/fakes/src/events.rs
@@ -5,8 +5,8 @@
 use crate::endpoints::host_state;
 use crate::server::host;
 use crate::task::spawn;
-use quartzcleat_decision::api::HostState;
-use quartzcleat_invariants::Fact;
+use quartzcleat_decision::api::{HostState, LimiterIndex};
+use quartzcleat_invariants::{Fact, HostIndex};
 use quartzcleat_simulation::host::HostStatus;
 use quartzcleat_simulation::oracle::ChoicePoint;
 use quartzcleat_simulation::scenario::{ClientRequest, ScenarioEvent};
@@ -21,12 +21,12 @@
 
 /// Applies an event. The start of a limiter is the harness's own.
 pub(crate) async fn apply(context: &Rc<Context>, event: ScenarioEvent) {
-    let host_name = |host: usize| context.scenario.processes.host(host);
+    let host_name = |host: HostIndex| context.scenario.processes.host(host);
     match event {
         ScenarioEvent::Request(ask) => start_client(context, ask),
         ScenarioEvent::DrainHost(host) => {
             context.remark(format!("{} begins to drain", host_name(host)));
-            context.hosts.borrow_mut()[host].model.draining = true;
+            context.hosts.borrow_mut()[host.0].model.draining = true;
             announce_change(context, host);
         }
         ScenarioEvent::KillHost(host) => {
@@ -45,7 +45,7 @@
                 "{} goes at {speed} of the yardstick",
                 host_name(host)
             ));
-            context.hosts.borrow_mut()[host].model.speed = speed.max(MIN_HOST_SPEED);
+            context.hosts.borrow_mut()[host.0].model.speed = speed.max(MIN_HOST_SPEED);
         }
         ScenarioEvent::SetCounterMode(mode) => {
             context.remark(format!("the counter is now {mode:?}").to_lowercase());
@@ -74,15 +74,15 @@
     });
 }
 
-fn start_host(context: &Rc<Context>, host: usize) {
+fn start_host(context: &Rc<Context>, host: HostIndex) {
     let now = context.now();
-    context.hosts.borrow_mut()[host].model.start(now);
+    context.hosts.borrow_mut()[host.0].model.start(now);
     context.record(Fact::HostStarted { host });
     host::start_process(context, host);
     announce_change(context, host);
 }
 
-async fn replace_host(context: &Rc<Context>, old: usize, new: usize) {
+async fn replace_host(context: &Rc<Context>, old: HostIndex, new: HostIndex) {
     let processes = &context.scenario.processes;
     context.remark(format!(
         "{} is replaced by {} at its address",
@@ -92,7 +92,7 @@
     context.end_host(old, HostStatus::Dead);
     {
         let mut hosts = context.hosts.borrow_mut();
-        hosts[new].addresses = hosts[old].addresses.clone();
+        hosts[new.0].addresses = hosts[old.0].addresses.clone();
     }
     announce_change(context, old);
     sleep(SOCKET_CLOSE_TIME).await;
@@ -109,9 +109,9 @@
     context.discovery.borrow_mut().set_answering(answering);
 }
 
-async fn kill_limiter(context: &Context, limiter: usize) {
+async fn kill_limiter(context: &Context, limiter: LimiterIndex) {
     context.record(Fact::LimiterDied { limiter });
-    let running = context.limiters.borrow_mut()[limiter]
+    let running = context.limiters.borrow_mut()[limiter.as_usize()]
         .process
         .take_running();
     if let Some(running) = running {
@@ -120,7 +120,7 @@
 }
 
 /// Adds a host's change to the endpoint list; limiters see it after the scenario's lag.
-pub(crate) fn announce_change(context: &Rc<Context>, host: usize) {
+pub(crate) fn announce_change(context: &Rc<Context>, host: HostIndex) {
     let lag = context.choose(
         ChoicePoint::DiscoveryDelay,
         0,
--- a/crates/fakes/src/harness.rs
+++ b/crates/fakes/src/harness.rs
@@ -9,8 +9,8 @@
 use crate::server::{self, accept_connections};
 use crate::state::FakeHost;
 use crate::task::spawn;
-use quartzcleat_decision::api::Nanos;
-use quartzcleat_invariants::{Fact, Record};
+use quartzcleat_decision::api::{LimiterIndex, Nanos};
+use quartzcleat_invariants::{Fact, HostIndex, Record};
 use quartzcleat_simulation::oracle::ChoicePoint;
 use quartzcleat_simulation::scenario::{Scenario, ScenarioEvent};
 use std::io;
@@ -39,8 +39,8 @@
     pub usage: Vec<Usage>,
 }
 
-/// Returns a limiter's product configuration (YAML) for a start, by the limiter's index and the number of its starts before.
-type ProductConfig = Box<dyn Fn(usize, usize) -> Option<String>>;
+/// Returns a limiter's product configuration (YAML) for a start, by the limiter and the number of its starts before.
+type ProductConfig = Box<dyn Fn(LimiterIndex, usize) -> Option<String>>;
 
 /// Runs a scenario against real limiters: processes of `program`, which are started and ended here. Their
 /// configurations are written to `folder`.
@@ -60,7 +60,7 @@
 }
 
 /// Like [`run_measured`], with product configurations: `product_config` is called for each start of a limiter, with the
-/// limiter's index and the number of its starts before.
+/// limiter and the number of its starts before.
 ///
 /// # Errors
 /// As [`run`].
@@ -68,7 +68,7 @@
     scenario: &Scenario,
     program: &Path,
     folder: &Path,
-    product_config: impl Fn(usize, usize) -> Option<String> + 'static,
+    product_config: impl Fn(LimiterIndex, usize) -> Option<String> + 'static,
 ) -> io::Result<RunReport> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -100,11 +100,11 @@
 impl Harness {
     async fn run(self) -> io::Result<RunReport> {
         self.bind_hosts().await?;
-        for limiter in 0..self.limiter_count() {
+        for limiter in self.limiters() {
             self.prepare_limiter(limiter).await?;
         }
         for host in 0..self.context.scenario.hosts.len() {
-            server::host::start_process(&self.context, host);
+            server::host::start_process(&self.context, HostIndex(host));
         }
         let start = self.start_limiters().await?;
         self.run_events(start).await?;
@@ -112,25 +112,28 @@
         Ok(self.finish().await)
     }
 
-    fn limiter_count(&self) -> usize {
-        self.context.scenario.processes.limiters.len()
+    fn limiters(&self) -> impl Iterator<Item = LimiterIndex> + use<> {
+        self.context.scenario.processes.limiter_indices()
     }
 
     async fn bind_hosts(&self) -> io::Result<()> {
         let context = &self.context;
         let start = context.now();
         for (host, setup) in context.scenario.hosts.iter().enumerate() {
-            let fake = FakeHost::bind(setup, self.limiter_count(), start).await?;
+            let fake = FakeHost::bind(setup, self.limiters().count(), start).await?;
             context.hosts.borrow_mut().push(fake);
             if !setup.absent {
-                context.discovery.borrow_mut().list_initially(host);
+                context
+                    .discovery
+                    .borrow_mut()
+                    .list_initially(HostIndex(host));
             }
         }
         Ok(())
     }
 
     /// Starts the counter and discovery for one limiter, and chooses the limiter's own address.
-    async fn prepare_limiter(&self, limiter: usize) -> io::Result<()> {
+    async fn prepare_limiter(&self, limiter: LimiterIndex) -> io::Result<()> {
         let counter = TcpListener::bind("127.0.0.1:0").await?;
         let discovery = TcpListener::bind("127.0.0.1:0").await?;
         let addresses = Addresses {
@@ -158,20 +161,20 @@
 
     /// Starts all limiters and waits until they are ready; returns the start of the run.
     async fn start_limiters(&self) -> io::Result<Instant> {
-        for limiter in 0..self.limiter_count() {
+        for limiter in self.limiters() {
             self.start_limiter(limiter).await?;
         }
-        for limiter in 0..self.limiter_count() {
+        for limiter in self.limiters() {
             self.record_known_hosts(limiter);
         }
         Ok(Instant::now())
     }
 
-    async fn start_limiter(&self, limiter: usize) -> io::Result<()> {
+    async fn start_limiter(&self, limiter: LimiterIndex) -> io::Result<()> {
         let config = limiter_config(&self.context, limiter);
         let address = {
             let mut limiters = self.context.limiters.borrow_mut();
-            let starting = &mut limiters[limiter];
+            let starting = &mut limiters[limiter.as_usize()];
             let product_config = (self.product_config)(limiter, starting.starts);
             starting.start(&config, product_config.as_deref())?;
             starting.addresses.listen
@@ -187,7 +190,7 @@
     }
 
     /// Records the hosts that a limiter's configuration names.
-    fn record_known_hosts(&self, limiter: usize) {
+    fn record_known_hosts(&self, limiter: LimiterIndex) {
         let listed = self.context.discovery.borrow().listed();
         for host in listed {
             let state = host_state(&self.context, host);
--- a/crates/fakes/src/load.rs
+++ b/crates/fakes/src/load.rs
@@ -1,6 +1,6 @@
 //! Scenarios of steady load: limiters and hosts in one zone, and customers whose quotas reject nothing.
 
-use quartzcleat_decision::api::{HostState, Nanos, Settings};
+use quartzcleat_decision::api::{CellId, HostState, Nanos, PlanIndex, Settings, ZoneId};
 use quartzcleat_invariants::{Process, Processes};
 use quartzcleat_simulation::scenario::{
     AttemptOutcome, ClientRequest, CounterSetup, HostSetup, NetworkDelays, Scenario, ScenarioEvent,
@@ -8,7 +8,7 @@
 };
 
 /// The plan of all customers.
-pub const PLAN: u32 = 2;
+pub const PLAN: PlanIndex = PlanIndex(2);
 /// Cores of a host: enough that no request waits for one.
 const CORES_PER_HOST: u32 = 64;
 /// The one-way delay between any two processes.
@@ -88,7 +88,7 @@
 
 fn with_unlimited_plan(settings: &Settings) -> Settings {
     let mut settings = settings.clone();
-    let plan = &mut settings.plans[PLAN as usize];
+    let plan = &mut settings.plans[PLAN.as_usize()];
     plan.rate = UNLIMITED_UNITS;
     plan.burst = UNLIMITED_UNITS;
     plan.max_concurrent_attempts = 0;
@@ -98,8 +98,8 @@
 fn processes(settings: &Settings, topology: LoadTopology) -> Processes {
     let process = |name: String| Process {
         name,
-        zone: 0,
-        cell: 0,
+        zone: ZoneId(0),
+        cell: CellId(0),
     };
     let limiter = |index: usize| process(format!("l{index}"));
     let host = |index: usize| process(format!("n{index}"));
--- a/crates/fakes/src/recorder.rs
+++ b/crates/fakes/src/recorder.rs
@@ -1,15 +1,14 @@
 //! The records of a run, with the attempts that are still in flight at hosts.
 
-use quartzcleat_decision::api::{Nanos, RequestId};
-use quartzcleat_invariants::{Fact, Record};
+use quartzcleat_decision::api::{AttemptIndex, Nanos, RequestId};
+use quartzcleat_invariants::{Fact, HostIndex, Record};
 use std::collections::BTreeMap;
 
 /// One attempt of one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct AttemptId {
     pub(crate) request: RequestId,
-    /// Counted from zero.
-    pub(crate) attempt: u32,
+    pub(crate) attempt: AttemptIndex,
 }
 
 /// Collects records in the order of their times.
@@ -17,7 +16,7 @@
 pub(crate) struct Recorder {
     records: Vec<Record>,
     /// The host of each attempt in flight.
-    in_flight: BTreeMap<AttemptId, usize>,
+    in_flight: BTreeMap<AttemptId, HostIndex>,
 }
 
 impl Recorder {
@@ -51,7 +50,7 @@
     }
 
     /// The attempts in flight at a host.
-    pub(crate) fn in_flight_at(&self, host: usize) -> Vec<AttemptId> {
+    pub(crate) fn in_flight_at(&self, host: HostIndex) -> Vec<AttemptId> {
         self.in_flight
             .iter()
             .filter(|(_, at)| **at == host)
--- a/crates/fakes/src/server/counter.rs
+++ b/crates/fakes/src/server/counter.rs
@@ -3,7 +3,7 @@
 
 use crate::context::Context;
 use crate::resp::CommandStream;
-use quartzcleat_decision::api::{Nanos, Outcome};
+use quartzcleat_decision::api::{LimiterIndex, Nanos, Outcome};
 use quartzcleat_simulation::counter::CounterReply;
 use quartzcleat_simulation::oracle::ChoicePoint;
 use quartzcleat_simulation::scenario::CounterCallOutcome;
@@ -39,7 +39,7 @@
 /// Serves one connection of a limiter.
 pub(crate) async fn serve_connection(
     context: Rc<Context>,
-    limiter: usize,
+    limiter: LimiterIndex,
     stream: TcpStream,
 ) -> io::Result<()> {
     let mut stream = CommandStream::new(stream);
@@ -66,7 +66,7 @@
 }
 
 /// The answer to a call; `None` where there never is one.
-async fn answer_call(context: &Context, limiter: usize, call: &Call<'_>) -> Option<String> {
+async fn answer_call(context: &Context, limiter: LimiterIndex, call: &Call<'_>) -> Option<String> {
     let number = context.counter.borrow_mut().next_call(limiter);
     let fates = &context.scenario.counter.call_outcomes;
     match context.choose(ChoicePoint::CounterCall, number, fates) {
--- a/crates/fakes/src/server/discovery.rs
+++ b/crates/fakes/src/server/discovery.rs
@@ -4,7 +4,8 @@
 use crate::context::Context;
 use crate::endpoints::{endpoint_list, host_state, ListKind};
 use crate::state::EndpointChanges;
-use quartzcleat_invariants::Fact;
+use quartzcleat_decision::api::LimiterIndex;
+use quartzcleat_invariants::{Fact, HostIndex};
 use std::io;
 use std::rc::Rc;
 use std::time::Duration;
@@ -21,13 +22,13 @@
 struct Answer {
     generation: u64,
     kind: ListKind,
-    hosts: Vec<usize>,
+    hosts: Vec<HostIndex>,
 }
 
 /// Serves one connection of a limiter.
 pub(crate) async fn serve_connection(
     context: Rc<Context>,
-    limiter: usize,
+    limiter: LimiterIndex,
     mut stream: TcpStream,
 ) -> io::Result<()> {
     let mut input = Vec::new();
@@ -54,7 +55,7 @@
     Some(head.split(' ').nth(1).unwrap_or_default().to_owned())
 }
 
-fn response(context: &Context, limiter: usize, answer: &Answer) -> String {
+fn response(context: &Context, limiter: LimiterIndex, answer: &Answer) -> String {
     let body = endpoint_list(
         context,
         limiter,
@@ -69,7 +70,7 @@
     )
 }
 
-fn record_notified(context: &Context, limiter: usize, answer: &Answer) {
+fn record_notified(context: &Context, limiter: LimiterIndex, answer: &Answer) {
     for host in &answer.hosts {
         context.record(Fact::HostStateLearned {
             limiter,
--- a/crates/fakes/src/server/host.rs
+++ b/crates/fakes/src/server/host.rs
@@ -5,7 +5,8 @@
 use crate::server::host_attempt::{self, AfterAttempt};
 use crate::state::Endpoint;
 use crate::task::{disable_nagle, spawn};
-use quartzcleat_decision::api::RequestId;
+use quartzcleat_decision::api::{LimiterIndex, RequestId};
+use quartzcleat_invariants::HostIndex;
 use quartzcleat_simulation::host::HostStatus;
 use std::io;
 use std::net::SocketAddr;
@@ -19,24 +20,25 @@
 const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(1);
 
 /// Starts to accept connections, where the host's process runs.
-pub(crate) fn start_process(context: &Rc<Context>, host: usize) {
+pub(crate) fn start_process(context: &Rc<Context>, host: HostIndex) {
     let endpoints = {
         let mut hosts = context.hosts.borrow_mut();
-        if hosts[host].model.status != HostStatus::Running {
+        if hosts[host.0].model.status != HostStatus::Running {
             return;
         }
-        hosts[host].take_endpoints()
+        hosts[host.0].take_endpoints()
     };
     for (limiter, endpoint) in endpoints.into_iter().enumerate() {
+        let limiter = LimiterIndex::from_usize(limiter);
         spawn(listen(context.clone(), limiter, host, endpoint));
     }
 }
 
-fn has_vanished(context: &Context, host: usize) -> bool {
-    context.hosts.borrow()[host].model.status == HostStatus::Unreachable
+fn has_vanished(context: &Context, host: HostIndex) -> bool {
+    context.hosts.borrow()[host.0].model.status == HostStatus::Unreachable
 }
 
-async fn listen(context: Rc<Context>, limiter: usize, host: usize, endpoint: Endpoint) {
+async fn listen(context: Rc<Context>, limiter: LimiterIndex, host: HostIndex, endpoint: Endpoint) {
     let Endpoint {
         address,
         listener,
@@ -86,8 +88,8 @@
 
 async fn serve_connection(
     context: Rc<Context>,
-    limiter: usize,
-    host: usize,
+    limiter: LimiterIndex,
+    host: HostIndex,
     stream: TcpStream,
 ) -> io::Result<()> {
     let mut stream = CommandStream::new(stream);
--- a/crates/fakes/src/server/host_attempt.rs
+++ b/crates/fakes/src/server/host_attempt.rs
@@ -4,8 +4,10 @@
 use crate::context::{Context, DeduplicationKey};
 use crate::resp::CommandStream;
 use crate::task::spawn;
-use quartzcleat_decision::api::{DedupScope, Effect, Nanos, Outcome, RequestId};
-use quartzcleat_invariants::Fact;
+use quartzcleat_decision::api::{
+    AttemptIndex, ClassIndex, DedupScope, Effect, LimiterIndex, Nanos, Outcome, RequestId,
+};
+use quartzcleat_invariants::{Fact, HostIndex};
 use quartzcleat_simulation::host::{Arrival, AttemptKey, HostStatus};
 use quartzcleat_simulation::oracle::ChoicePoint;
 use quartzcleat_simulation::scenario::{AttemptOutcome, Scenario, ScenarioEvent};
@@ -42,9 +44,9 @@
 /// An attempt as its host knows it.
 #[derive(Clone, Copy)]
 struct Attempt {
-    host: usize,
+    host: HostIndex,
     job: AttemptKey,
-    class: usize,
+    class: ClassIndex,
     /// The operation that the client wants executed.
     operation: u64,
 }
@@ -52,8 +54,8 @@
 /// Serves one attempt.
 pub(crate) async fn serve(
     context: &Rc<Context>,
-    limiter: usize,
-    host: usize,
+    limiter: LimiterIndex,
+    host: HostIndex,
     request: RequestId,
     stream: &mut CommandStream,
 ) -> io::Result<AfterAttempt> {
@@ -65,7 +67,7 @@
         reply = execute(context, &attempt) => reply,
         () = stream.closed() => {
             // The limiter cancelled the attempt: it leaves the host's queue.
-            context.hosts.borrow_mut()[host].model.cancel(attempt.job);
+            context.hosts.borrow_mut()[host.0].model.cancel(attempt.job);
             record_end(context, &attempt, Outcome::Cancelled);
             return Ok(AfterAttempt::Close);
         }
@@ -75,7 +77,12 @@
 }
 
 /// Counts and records an attempt; `None` where its request is unknown.
-fn begin(context: &Context, limiter: usize, host: usize, request: RequestId) -> Option<Attempt> {
+fn begin(
+    context: &Context,
+    limiter: LimiterIndex,
+    host: HostIndex,
+    request: RequestId,
+) -> Option<Attempt> {
     let attempt = {
         let mut requests = context.requests.borrow_mut();
         let state = requests.get_mut(&request)?;
@@ -85,7 +92,7 @@
             job: AttemptKey {
                 limiter,
                 request,
-                attempt: state.attempts - 1,
+                attempt: AttemptIndex(state.attempts - 1),
             },
             class: state.class,
             operation: state.operation,
@@ -93,7 +100,7 @@
     };
     let capacity_factor = {
         let hosts = context.hosts.borrow();
-        hosts[host]
+        hosts[host.0]
             .model
             .capacity_factor(&context.scenario.ground_truth, context.now())
     };
@@ -178,7 +185,7 @@
 
 /// Executes an attempt, or ends it as its fate demands.
 async fn execute(context: &Rc<Context>, attempt: &Attempt) -> HostReply {
-    let number = attempt.job.attempt as usize;
+    let number = attempt.job.attempt.as_usize();
     let fate = context.choose(
         ChoicePoint::Attempt,
         number,
@@ -210,19 +217,19 @@
     if fate == AttemptOutcome::Late {
         sleep(latency_objective(context, attempt.class)).await;
     }
-    if context.hosts.borrow()[attempt.host].model.status == HostStatus::Unreachable {
+    if context.hosts.borrow()[attempt.host.0].model.status == HostStatus::Unreachable {
         return HostReply::Silence;
     }
     HostReply::Value
 }
 
-fn work(context: &Context, class: usize) -> Nanos {
+fn work(context: &Context, class: ClassIndex) -> Nanos {
     let work = &context.scenario.work;
-    work.get(class).copied().unwrap_or(DEFAULT_WORK)
+    work.get(class.as_usize()).copied().unwrap_or(DEFAULT_WORK)
 }
 
-fn latency_objective(context: &Context, class: usize) -> Duration {
-    let class = context.scenario.ground_truth.classes.get(class);
+fn latency_objective(context: &Context, class: ClassIndex) -> Duration {
+    let class = context.scenario.ground_truth.classes.get(class.as_usize());
     Duration::from_nanos(class.map_or(0, |class| class.latency_objective))
 }
 
@@ -230,7 +237,7 @@
 async fn reach_core(context: &Rc<Context>, attempt: &Attempt) -> Result<(), HostReply> {
     let now = context.now();
     let work = work(context, attempt.class);
-    let reached = context.hosts.borrow_mut()[attempt.host].model.receive(
+    let reached = context.hosts.borrow_mut()[attempt.host.0].model.receive(
         attempt.job,
         work,
         &context.scenario.ground_truth,
@@ -239,7 +246,7 @@
     match reached {
         Arrival::Started => Ok(()),
         Arrival::Queued => {
-            let started = context.hosts.borrow_mut()[attempt.host].enqueue(attempt.job);
+            let started = context.hosts.borrow_mut()[attempt.host.0].enqueue(attempt.job);
             started.await.map_err(|_| HostReply::Reset)
         }
         Arrival::Rejected => Err(HostReply::Busy),
@@ -264,7 +271,7 @@
     });
     let work = work(context, attempt.class);
     let (duration, process_start) = {
-        let model = &context.hosts.borrow()[host].model;
+        let model = &context.hosts.borrow()[host.0].model;
         let duration = if deduplicated {
             DUPLICATE_TIME
         } else {
@@ -276,7 +283,7 @@
     let context = context.clone();
     spawn(async move {
         sleep(duration).await;
-        context.hosts.borrow_mut()[host].finish_job(process_start);
+        context.hosts.borrow_mut()[host.0].finish_job(process_start);
         // An attempt whose connection is gone does not wait for the end of its work.
         let _ = finish.send(());
     });
@@ -285,15 +292,19 @@
 
 /// Whether the host's group has executed the attempt's operation within the deduplication window of its class.
 fn is_duplicate(context: &Context, attempt: &Attempt) -> bool {
-    let class = context.scenario.ground_truth.classes.get(attempt.class);
+    let class = context
+        .scenario
+        .ground_truth
+        .classes
+        .get(attempt.class.as_usize());
     let Some(class) = class.filter(|class| class.effect == Effect::IdempotentWithKey) else {
         return false;
     };
-    let description = &context.scenario.processes.hosts[attempt.host];
+    let description = &context.scenario.processes.hosts[attempt.host.0];
     let group = match class.dedup_scope {
         DedupScope::All => 0,
-        DedupScope::Zone => description.zone + 1,
-        DedupScope::Cell => description.cell + 1,
+        DedupScope::Zone => description.zone.0 + 1,
+        DedupScope::Cell => description.cell.0 + 1,
     };
     let key = DeduplicationKey {
         group,
--- a/crates/fakes/src/server/mod.rs
+++ b/crates/fakes/src/server/mod.rs
@@ -7,6 +7,7 @@
 
 use crate::context::Context;
 use crate::task::{disable_nagle, spawn};
+use quartzcleat_decision::api::LimiterIndex;
 use std::future::Future;
 use std::io;
 use std::rc::Rc;
@@ -15,9 +16,9 @@
 /// Accepts one limiter's connections until the listener fails, and serves each of them in a task of its own.
 pub(crate) async fn accept_connections<Serving>(
     context: Rc<Context>,
-    limiter: usize,
+    limiter: LimiterIndex,
     listener: TcpListener,
-    serve_connection: fn(Rc<Context>, usize, TcpStream) -> Serving,
+    serve_connection: fn(Rc<Context>, LimiterIndex, TcpStream) -> Serving,
 ) where
     Serving: Future<Output = io::Result<()>> + 'static,
 {
--- a/crates/fakes/src/state/counter.rs
+++ b/crates/fakes/src/state/counter.rs
@@ -1,5 +1,6 @@
 //! The counter's totals and the number of calls from each limiter.
 
+use quartzcleat_decision::api::LimiterIndex;
 use quartzcleat_simulation::counter::Counter;
 use quartzcleat_simulation::scenario::CounterSetup;
 
@@ -19,11 +20,11 @@
     }
 
     /// Counts a limiter's call and returns its index, from zero.
-    pub(crate) fn next_call(&mut self, limiter: usize) -> usize {
-        let limiters = self.calls.len().max(limiter + 1);
+    pub(crate) fn next_call(&mut self, limiter: LimiterIndex) -> usize {
+        let limiters = self.calls.len().max(limiter.as_usize() + 1);
         self.calls.resize(limiters, 0);
-        let call = self.calls[limiter];
-        self.calls[limiter] += 1;
+        let call = self.calls[limiter.as_usize()];
+        self.calls[limiter.as_usize()] += 1;
         call
     }
 }
--- a/crates/fakes/src/state/discovery.rs
+++ b/crates/fakes/src/state/discovery.rs
@@ -1,5 +1,6 @@
 //! The endpoint list of discovery and its versions.
 
+use quartzcleat_invariants::HostIndex;
 use tokio::sync::watch;
 
 /// The version of the endpoint list before any change.
@@ -8,10 +9,10 @@
 /// The state of the fake discovery service.
 pub(crate) struct FakeDiscovery {
     /// The host of each change, in their order.
-    changes: Vec<usize>,
+    changes: Vec<HostIndex>,
     /// The newest version that limiters may see.
     published: watch::Sender<u64>,
-    listed: Vec<usize>,
+    listed: Vec<HostIndex>,
     answering: watch::Sender<bool>,
 }
 
@@ -32,12 +33,12 @@
     }
 
     /// Lists a host from the start.
-    pub(crate) fn list_initially(&mut self, host: usize) {
+    pub(crate) fn list_initially(&mut self, host: HostIndex) {
         self.listed.push(host);
     }
 
     /// The hosts that are listed.
-    pub(crate) fn listed(&self) -> Vec<usize> {
+    pub(crate) fn listed(&self) -> Vec<HostIndex> {
         self.listed.clone()
     }
 
@@ -47,19 +48,19 @@
     }
 
     /// Adds a change of a host that is still listed; returns its version.
-    pub(crate) fn update(&mut self, host: usize) -> u64 {
+    pub(crate) fn update(&mut self, host: HostIndex) -> u64 {
         self.listed.retain(|listed| *listed != host);
         self.listed.push(host);
         self.add_change(host)
     }
 
     /// Adds a change that removes a host; returns its version.
-    pub(crate) fn remove(&mut self, host: usize) -> u64 {
+    pub(crate) fn remove(&mut self, host: HostIndex) -> u64 {
         self.listed.retain(|listed| *listed != host);
         self.add_change(host)
     }
 
-    fn add_change(&mut self, host: usize) -> u64 {
+    fn add_change(&mut self, host: HostIndex) -> u64 {
         self.changes.push(host);
         self.changes.len() as u64 + FIRST_GENERATION
     }
@@ -84,7 +85,7 @@
     }
 
     /// The hosts that changed after version `from` and up to version `to`, each once.
-    pub(crate) fn changed_between(&self, from: u64, to: u64) -> Vec<usize> {
+    pub(crate) fn changed_between(&self, from: u64, to: u64) -> Vec<HostIndex> {
         let first = (from.max(FIRST_GENERATION) - FIRST_GENERATION) as usize;
         let end = (to.max(FIRST_GENERATION) - FIRST_GENERATION) as usize;
         let range = first..end.min(self.changes.len());
--- a/crates/invariants/src/checker.rs
+++ b/crates/invariants/src/checker.rs
@@ -1,9 +1,12 @@
 //! Checks the invariants in one pass over the records of a run.
 
 use crate::invariant::{ClassLimits, Invariant, InvariantLimits, Violation};
-use crate::process::{Index, Processes};
+use crate::process::{HostIndex, Processes};
 use crate::record::{Answer, Fact, Record};
-use quartzcleat_decision::api::{DedupScope, Effect, HostState, Nanos, Outcome, RequestId};
+use quartzcleat_decision::api::{
+    AttemptIndex, ClassIndex, DedupScope, Effect, HostState, LimiterIndex, Nanos, Outcome,
+    RequestId,
+};
 use std::collections::{BTreeMap, BTreeSet};
 
 #[cfg(test)]
@@ -37,22 +40,22 @@
 /// An attempt as it was sent.
 #[derive(Clone, Copy)]
 struct SentAttempt {
-    number: u32,
+    attempt: AttemptIndex,
     at: Nanos,
-    host: Index,
+    host: HostIndex,
 }
 
 /// What is known of a request so far.
 #[derive(Default)]
 struct RequestState {
-    limiter: Index,
-    class: Index,
+    limiter: LimiterIndex,
+    class: ClassIndex,
     deadline: Nanos,
     is_received: bool,
     answers: u32,
     /// Its client disconnected or its limiter died: no answer is pending.
     is_released: bool,
-    in_flight: BTreeSet<u32>,
+    in_flight: BTreeSet<AttemptIndex>,
     attempts: u32,
     /// The first attempt that may have been executed, as far as the limiter can know.
     first_possible_execution: Option<SentAttempt>,
@@ -64,14 +67,14 @@
         self.is_received && self.answers == 0 && !self.is_released
     }
 
-    fn end_attempt(&mut self, attempt: u32, outcome: Outcome) {
+    fn end_attempt(&mut self, attempt: AttemptIndex, outcome: Outcome) {
         self.in_flight.remove(&attempt);
         if outcome == Outcome::NeverSent {
             self.attempts = self.attempts.saturating_sub(1);
         }
         let is_first = self
             .first_possible_execution
-            .is_some_and(|first| first.number == attempt);
+            .is_some_and(|first| first.attempt == attempt);
         if is_first && outcome.never_ran() {
             self.first_possible_execution = None;
         }
@@ -81,8 +84,8 @@
 /// The hosts that a limiter was notified of.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct LimiterHost {
-    limiter: Index,
-    host: Index,
+    limiter: LimiterIndex,
+    host: HostIndex,
 }
 
 /// A host's state as a limiter knows it.
@@ -143,7 +146,7 @@
                 ..
             } => {
                 let sent = SentAttempt {
-                    number: *attempt,
+                    attempt: *attempt,
                     at,
                     host: *host,
                 };
@@ -169,8 +172,8 @@
     fn receive_request(
         &mut self,
         request: RequestId,
-        limiter: Index,
-        class: Index,
+        limiter: LimiterIndex,
+        class: ClassIndex,
         deadline: Nanos,
     ) {
         let state = self.request(request);
@@ -180,7 +183,13 @@
         state.is_received = true;
     }
 
-    fn learn_host_state(&mut self, at: Nanos, limiter: Index, host: Index, state: HostState) {
+    fn learn_host_state(
+        &mut self,
+        at: Nanos,
+        limiter: LimiterIndex,
+        host: HostIndex,
+        state: HostState,
+    ) {
         let key = LimiterHost { limiter, host };
         let known = self.known_hosts.get(&key).map(|known| known.state);
         // A repeated notification of the same state starts no new grace period.
@@ -190,7 +199,7 @@
         }
     }
 
-    fn release_requests_of(&mut self, limiter: Index) {
+    fn release_requests_of(&mut self, limiter: LimiterIndex) {
         for state in self.requests.values_mut() {
             if state.limiter == limiter {
                 state.is_released = true;
@@ -199,14 +208,14 @@
     }
 
     /// Checks an attempt at the moment that it is sent.
-    fn check_attempt(&mut self, limiter: Index, request: RequestId, sent: SentAttempt) {
+    fn check_attempt(&mut self, limiter: LimiterIndex, request: RequestId, sent: SentAttempt) {
         self.check_drain(limiter, request, sent);
         let state = self.request(request);
         let has_other_in_flight = !state.in_flight.is_empty();
         let first = state.first_possible_execution;
         let class = state.class;
         state.attempts += 1;
-        state.in_flight.insert(sent.number);
+        state.in_flight.insert(sent.attempt);
         state.first_possible_execution.get_or_insert(sent);
         let attempts = state.attempts;
         if has_other_in_flight {
@@ -228,7 +237,7 @@
     }
 
     /// Checks that the host of an attempt was not known to be draining or gone for longer than the grace period.
-    fn check_drain(&mut self, limiter: Index, request: RequestId, sent: SentAttempt) {
+    fn check_drain(&mut self, limiter: LimiterIndex, request: RequestId, sent: SentAttempt) {
         let key = LimiterHost {
             limiter,
             host: sent.host,
@@ -249,7 +258,7 @@
     /// Checks an attempt of a request that may have been executed before.
     fn check_repeat(
         &mut self,
-        class: Index,
+        class: ClassIndex,
         request: RequestId,
         first: SentAttempt,
         sent: SentAttempt,
@@ -273,9 +282,9 @@
     }
 
     /// Whether two hosts recognise each other's idempotency keys.
-    fn shares_keys(&self, dedup_scope: DedupScope, first: Index, second: Index) -> bool {
-        let first = self.processes.hosts.get(first);
-        let second = self.processes.hosts.get(second);
+    fn shares_keys(&self, dedup_scope: DedupScope, first: HostIndex, second: HostIndex) -> bool {
+        let first = self.processes.hosts.get(first.0);
+        let second = self.processes.hosts.get(second.0);
         match dedup_scope {
             DedupScope::All => true,
             DedupScope::Zone => first.map(|host| host.zone) == second.map(|host| host.zone),
--- a/crates/invariants/src/checker/tests.rs
+++ b/crates/invariants/src/checker/tests.rs
@@ -1,5 +1,6 @@
 use super::*;
-use crate::process::Process;
+use crate::process::{PartnerIndex, Process};
+use quartzcleat_decision::api::{CellId, ZoneId};
 
 const MS: Nanos = 1_000_000;
 
@@ -21,8 +22,8 @@
 fn processes() -> Processes {
     let host = |cell| Process {
         name: format!("n{cell}"),
-        zone: 0,
-        cell,
+        zone: ZoneId(0),
+        cell: CellId(cell),
     };
     Processes {
         hosts: (0..3).map(host).collect(),
@@ -39,22 +40,22 @@
 fn received(at: Nanos, deadline: Nanos) -> Record {
     let fact = Fact::RequestReceived {
         request: ID,
-        limiter: 0,
+        limiter: LimiterIndex(0),
         operation: 1,
-        class: 0,
-        partner: 0,
+        class: ClassIndex(0),
+        partner: PartnerIndex(0),
         units: 1.0,
         deadline: deadline * MS,
     };
     record(at, fact)
 }
 
-fn sent(at: Nanos, attempt: u32, host: Index) -> Record {
+fn sent(at: Nanos, attempt: u32, host: usize) -> Record {
     let fact = Fact::AttemptSent {
-        limiter: 0,
+        limiter: LimiterIndex(0),
         request: ID,
-        attempt,
-        host,
+        attempt: AttemptIndex(attempt),
+        host: HostIndex(host),
         warming_up: false,
     };
     record(at, fact)
@@ -62,7 +63,7 @@
 
 fn executed(at: Nanos) -> Record {
     let fact = Fact::Executed {
-        host: 0,
+        host: HostIndex(0),
         request: ID,
         deduplicated: false,
     };
@@ -72,7 +73,7 @@
 fn ended(at: Nanos, attempt: u32, outcome: Outcome) -> Record {
     let fact = Fact::AttemptEnded {
         request: ID,
-        attempt,
+        attempt: AttemptIndex(attempt),
         outcome,
     };
     record(at, fact)
@@ -88,8 +89,8 @@
 
 fn draining(at: Nanos) -> Record {
     let fact = Fact::HostStateLearned {
-        limiter: 0,
-        host: 0,
+        limiter: LimiterIndex(0),
+        host: HostIndex(0),
         state: HostState::Draining,
     };
     record(at, fact)
@@ -185,7 +186,7 @@
 
 #[test]
 fn possibly_executed_request_is_repeated_only_as_its_class_allows() {
-    let again = |second: Nanos, host: Index| {
+    let again = |second: Nanos, host: usize| {
         let first = ended(2, 0, Outcome::Reset);
         [
             received(0, 900),
@@ -253,7 +254,7 @@
 
 #[test]
 fn overload_of_a_host_that_warms_up_is_a_violation() {
-    let overloaded = record(0, Fact::HostOverloaded { host: 0 });
+    let overloaded = record(0, Fact::HostOverloaded { host: HostIndex(0) });
     assert_eq!(
         violated(Effect::Idempotent, DedupScope::All, &[overloaded]),
         [Invariant::SlowStart]
--- a/crates/invariants/src/invariant.rs
+++ b/crates/invariants/src/invariant.rs
@@ -1,6 +1,8 @@
 //! The invariants, what they are measured by, and what a violation of one is.
 
-use quartzcleat_decision::api::{Class, DedupScope, Effect, Nanos, RequestId, Settings};
+use quartzcleat_decision::api::{
+    Class, ClassIndex, DedupScope, Effect, Nanos, RequestId, Settings,
+};
 
 /// A statement that holds for every run, whatever its configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -20,16 +22,6 @@
 }
 
 impl Invariant {
-    /// All invariants.
-    pub const ALL: [Invariant; 6] = [
-        Invariant::OneAnswer,
-        Invariant::AttemptCap,
-        Invariant::SafeRepeats,
-        Invariant::Drains,
-        Invariant::SlowStart,
-        Invariant::Values,
-    ];
-
     /// The invariant's name in reports.
     #[must_use]
     pub fn name(self) -> &'static str {
@@ -118,9 +110,9 @@
 
     /// How requests of a class may be repeated.
     #[must_use]
-    pub fn class(&self, index: usize) -> ClassLimits {
+    pub fn class(&self, class: ClassIndex) -> ClassLimits {
         self.classes
-            .get(index)
+            .get(class.as_usize())
             .copied()
             .unwrap_or(ClassLimits::UNKNOWN_CLASS)
     }
--- a/crates/invariants/src/lib.rs
+++ b/crates/invariants/src/lib.rs
@@ -12,5 +12,5 @@
 
 pub use checker::check;
 pub use invariant::{ClassLimits, Invariant, InvariantLimits, Violation};
-pub use process::{Process, Processes};
+pub use process::{HostIndex, PartnerIndex, Process, Processes};
 pub use record::{Answer, Fact, Record};
--- a/crates/invariants/src/record.rs
+++ b/crates/invariants/src/record.rs
@@ -1,7 +1,9 @@
 //! The records of a run: facts with their times, as an observer outside the limiters sees them.
 
-use crate::process::Index;
-use quartzcleat_decision::api::{HostState, Nanos, Outcome, RequestId};
+use crate::process::{HostIndex, PartnerIndex};
+use quartzcleat_decision::api::{
+    AttemptIndex, ClassIndex, HostState, LimiterIndex, Nanos, Outcome, RequestId,
+};
 
 /// A final answer to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -22,14 +24,14 @@
         /// The request: one attempt of a client at an operation.
         request: RequestId,
         /// The limiter.
-        limiter: Index,
+        limiter: LimiterIndex,
         /// The operation that the client wants done. Its retries share it; in a class with idempotency keys it is
         /// the key.
         operation: u64,
         /// The class.
-        class: Index,
+        class: ClassIndex,
         /// The partner.
-        partner: Index,
+        partner: PartnerIndex,
         /// The units that it takes of the partner's quota.
         units: f64,
         /// When the client gives up.
@@ -38,29 +40,29 @@
     /// A limiter was notified of a host's state.
     HostStateLearned {
         /// The limiter.
-        limiter: Index,
+        limiter: LimiterIndex,
         /// The host.
-        host: Index,
+        host: HostIndex,
         /// Its state from now on.
         state: HostState,
     },
     /// An attempt left a limiter for a host.
     AttemptSent {
         /// The limiter.
-        limiter: Index,
+        limiter: LimiterIndex,
         /// The request.
         request: RequestId,
-        /// The attempt's number, from zero.
-        attempt: u32,
+        /// The attempt.
+        attempt: AttemptIndex,
         /// The host.
-        host: Index,
+        host: HostIndex,
         /// Whether the host was warming up at that moment.
         warming_up: bool,
     },
     /// A host executed a request, or recognised it as a repeat.
     Executed {
         /// The host.
-        host: Index,
+        host: HostIndex,
         /// The request.
         request: RequestId,
         /// It was not executed again: the result of an earlier execution stands for it.
@@ -70,8 +72,8 @@
     AttemptEnded {
         /// The request.
         request: RequestId,
-        /// The attempt's number.
-        attempt: u32,
+        /// The attempt.
+        attempt: AttemptIndex,
         /// How it ended, as far as the limiter can know.
         outcome: Outcome,
     },
@@ -97,17 +99,17 @@
     /// A host's process has just started and is warming up.
     HostStarted {
         /// The host.
-        host: Index,
+        host: HostIndex,
     },
     /// A host that was warming up crashed, because it was sent more work than it can do in that state.
     HostOverloaded {
         /// The host.
-        host: Index,
+        host: HostIndex,
     },
     /// A limiter died; its pending responses are void.
     LimiterDied {
         /// The limiter.
-        limiter: Index,
+        limiter: LimiterIndex,
     },
     /// Something of the environment, for readers only.
     Note(String),
--- a/crates/invariants/src/timeline.rs
+++ b/crates/invariants/src/timeline.rs
@@ -93,7 +93,7 @@
                 attempt, outcome, ..
             } => format!(
                 "attempt {} of {request} ends: {}",
-                attempt + 1,
+                attempt.0 + 1,
                 outcome_text(*outcome)
             ),
             Fact::UnitsSettled { units, .. } => format!("{request} is settled at {units} units"),
@@ -128,7 +128,7 @@
                 self.request(*request),
                 self.processes.host(*host),
                 if *warming_up { ", which is cold" } else { "" },
-                attempt + 1
+                attempt.0 + 1
             ),
             _ => String::new(),
         }
--- a/crates/simulation/src/event_queue.rs
+++ b/crates/simulation/src/event_queue.rs
@@ -2,14 +2,17 @@
 
 use crate::host::AttemptKey;
 use crate::scenario::{AttemptOutcome, ClientRequest};
-use quartzcleat_decision::api::{HostEntry, ListMode, Nanos, Outcome, RequestId, Timer};
+use quartzcleat_decision::api::{
+    HostEntry, LimiterIndex, ListMode, Nanos, Outcome, RequestId, Timer,
+};
+use quartzcleat_invariants::HostIndex;
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
 /// One incarnation of a limiter. Events that were meant for an earlier incarnation are void.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct LimiterIncarnation {
-    pub(crate) limiter: usize,
+    pub(crate) limiter: LimiterIndex,
     pub(crate) incarnation: u32,
 }
 
@@ -49,14 +52,14 @@
     /// An attempt reaches its host.
     AttemptArrives {
         attempt: AttemptKey,
-        host: usize,
+        host: HostIndex,
         outcome: AttemptOutcome,
     },
     /// A host has finished a job. The start time of its process tells whether it is still the same one.
     JobFinished {
         #[expect(dead_code, reason = "distinguishes states in the fingerprint")]
         attempt: AttemptKey,
-        host: usize,
+        host: HostIndex,
         process_start: Nanos,
     },
     /// A limiter learns how an attempt ended.
--- a/crates/simulation/src/host.rs
+++ b/crates/simulation/src/host.rs
@@ -1,7 +1,9 @@
 //! A host: its cores, its queue, its slow start, and the end of its process.
 
 use crate::scenario::HostSetup;
-use quartzcleat_decision::api::{HostState, Nanos, RequestId, Settings};
+use quartzcleat_decision::api::{
+    AttemptIndex, HostState, LimiterIndex, Nanos, RequestId, Settings,
+};
 use std::collections::VecDeque;
 
 #[cfg(test)]
@@ -16,11 +18,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct AttemptKey {
     /// The limiter that sent it.
-    pub limiter: usize,
+    pub limiter: LimiterIndex,
     /// The request.
     pub request: RequestId,
-    /// The attempt's number.
-    pub attempt: u32,
+    /// The attempt.
+    pub attempt: AttemptIndex,
 }
 
 /// Whether a host's process runs.
--- a/crates/simulation/src/host/tests.rs
+++ b/crates/simulation/src/host/tests.rs
@@ -17,9 +17,9 @@
 
 fn attempt(request: u64) -> AttemptKey {
     AttemptKey {
-        limiter: 0,
+        limiter: LimiterIndex(0),
         request: RequestId(request),
-        attempt: 0,
+        attempt: AttemptIndex(0),
     }
 }
 
--- a/crates/simulation/src/limiter.rs
+++ b/crates/simulation/src/limiter.rs
@@ -2,8 +2,9 @@
 //! attempts in flight, and the order of the counter's answers.
 
 use crate::counter::CounterReply;
-use quartzcleat_decision::api::{Event, Nanos, RequestId, Settings};
+use quartzcleat_decision::api::{AttemptIndex, ClassIndex, Event, Nanos, RequestId, Settings};
 use quartzcleat_decision::DecisionEngine;
+use quartzcleat_invariants::HostIndex;
 use std::collections::{BTreeMap, VecDeque};
 
 #[cfg(test)]
@@ -12,7 +13,7 @@
 /// A request that has no answer yet.
 #[derive(Clone, Debug)]
 pub(crate) struct OpenRequest {
-    pub(crate) class: usize,
+    pub(crate) class: ClassIndex,
     pub(crate) operation: u64,
     pub(crate) deadline: Nanos,
     pub(crate) attempts: u32,
@@ -22,22 +23,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct AttemptId {
     pub(crate) request: RequestId,
-    pub(crate) number: u32,
+    pub(crate) attempt: AttemptIndex,
 }
 
 /// An attempt that has not ended.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct InFlightAttempt {
-    pub(crate) host: usize,
+    pub(crate) host: HostIndex,
     pub(crate) started: Nanos,
-    pub(crate) class: usize,
+    pub(crate) class: ClassIndex,
     pub(crate) operation: u64,
 }
 
 /// An attempt that has just started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct StartedAttempt {
-    pub(crate) number: u32,
+    pub(crate) attempt: AttemptIndex,
     /// When the request's client gives up.
     pub(crate) deadline: Nanos,
 }
@@ -45,7 +46,7 @@
 /// An attempt that must not be sent, because its request is closed, late or has used up its attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct AttemptNotAllowed {
-    pub(crate) number: u32,
+    pub(crate) attempt: AttemptIndex,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -131,19 +132,21 @@
     pub(crate) fn start_attempt(
         &mut self,
         request: RequestId,
-        host: usize,
+        host: HostIndex,
         now: Nanos,
         max_attempts: u32,
     ) -> Result<StartedAttempt, AttemptNotAllowed> {
         let Some(open) = self.open_requests.get_mut(&request) else {
-            return Err(AttemptNotAllowed { number: 0 });
+            return Err(AttemptNotAllowed {
+                attempt: AttemptIndex(0),
+            });
         };
-        let number = open.attempts;
+        let attempt = AttemptIndex(open.attempts);
         open.attempts += 1;
-        if number >= max_attempts || now >= open.deadline {
-            return Err(AttemptNotAllowed { number });
+        if attempt.0 >= max_attempts || now >= open.deadline {
+            return Err(AttemptNotAllowed { attempt });
         }
-        let attempt = InFlightAttempt {
+        let in_flight = InFlightAttempt {
             host,
             started: now,
             class: open.class,
@@ -151,12 +154,16 @@
         };
         let deadline = open.deadline;
         self.in_flight
-            .insert(AttemptId { request, number }, attempt);
-        Ok(StartedAttempt { number, deadline })
+            .insert(AttemptId { request, attempt }, in_flight);
+        Ok(StartedAttempt { attempt, deadline })
     }
 
     /// An attempt that has not ended.
-    pub(crate) fn attempt(&self, request: RequestId, number: u32) -> Option<InFlightAttempt> {
-        self.in_flight.get(&AttemptId { request, number }).copied()
+    pub(crate) fn attempt(
+        &self,
+        request: RequestId,
+        attempt: AttemptIndex,
+    ) -> Option<InFlightAttempt> {
+        self.in_flight.get(&AttemptId { request, attempt }).copied()
     }
 }
--- a/crates/simulation/src/limiter/tests.rs
+++ b/crates/simulation/src/limiter/tests.rs
@@ -51,27 +51,33 @@
     limiter.open_requests.insert(
         request,
         OpenRequest {
-            class: 0,
+            class: ClassIndex(0),
             operation: 1,
             deadline: 100,
             attempts: 0,
         },
     );
     let started = limiter
-        .start_attempt(request, 0, 5, 2)
-        .map(|started| started.number);
-    assert_eq!(started, Ok(0));
-    let mut not_allowed = |request, now| limiter.start_attempt(request, 0, now, 2);
+        .start_attempt(request, HostIndex(0), 5, 2)
+        .map(|started| started.attempt);
+    assert_eq!(started, Ok(AttemptIndex(0)));
+    let mut not_allowed = |request, now| limiter.start_attempt(request, HostIndex(0), now, 2);
     assert_eq!(
         not_allowed(request, 100),
-        Err(AttemptNotAllowed { number: 1 })
+        Err(AttemptNotAllowed {
+            attempt: AttemptIndex(1)
+        })
     );
     assert_eq!(
         not_allowed(request, 5),
-        Err(AttemptNotAllowed { number: 2 })
+        Err(AttemptNotAllowed {
+            attempt: AttemptIndex(2)
+        })
     );
     assert_eq!(
         not_allowed(RequestId(2), 5),
-        Err(AttemptNotAllowed { number: 0 })
+        Err(AttemptNotAllowed {
+            attempt: AttemptIndex(0)
+        })
     );
 }
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -1,7 +1,7 @@
 //! Delays of the network and the random variation of delays and work.
 
 use crate::scenario::NetworkDelays;
-use quartzcleat_decision::api::Nanos;
+use quartzcleat_decision::api::{Nanos, ZoneId};
 use rand::SeedableRng;
 use rand_distr::{Distribution, LogNormal};
 use rand_pcg::Pcg64Mcg;
@@ -46,7 +46,12 @@
     }
 
     /// A one-way delay between processes in two zones.
-    pub(crate) fn delay_between(&self, from: u32, to: u32, variation: &mut Variation) -> Nanos {
+    pub(crate) fn delay_between(
+        &self,
+        from: ZoneId,
+        to: ZoneId,
+        variation: &mut Variation,
+    ) -> Nanos {
         let mean = if from == to {
             self.delays.same_zone
         } else {
--- a/crates/simulation/src/scenario.rs
+++ b/crates/simulation/src/scenario.rs
@@ -1,8 +1,8 @@
 //! A scenario as plain data: which processes there are, what is given, and what happens when.
 
 use crate::oracle::ChoicePoint;
-use quartzcleat_decision::api::{HostState, Nanos, Settings};
-use quartzcleat_invariants::{process::Index, Processes};
+use quartzcleat_decision::api::{ClassIndex, HostState, LimiterIndex, Nanos, PlanIndex, Settings};
+use quartzcleat_invariants::{HostIndex, PartnerIndex, Processes};
 
 /// What becomes of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -138,17 +138,18 @@
 pub struct LimiterSet {
     /// How many they are.
     pub count: u32,
-    /// The index of the first.
-    pub first: u32,
+    /// The first of them.
+    pub first: LimiterIndex,
 }
 
 impl LimiterSet {
     /// The limiter that follows another one of the set, out of so many limiters in all.
     #[must_use]
-    pub fn next_after(self, limiter: Index, limiters: usize) -> Index {
-        let first = self.first as usize;
-        let position = (limiter + limiters - first) % limiters;
-        (first + (position + 1) % self.count as usize) % limiters
+    pub fn next_after(self, limiter: LimiterIndex, limiters: usize) -> LimiterIndex {
+        let first = self.first.as_usize();
+        let position = (limiter.as_usize() + limiters - first) % limiters;
+        let next = (first + (position + 1) % self.count as usize) % limiters;
+        LimiterIndex::from_usize(next)
     }
 }
 
@@ -158,17 +159,17 @@
     /// The operation. A further request for the same one is a retry, with the same idempotency key.
     pub operation: u64,
     /// The class.
-    pub class: Index,
+    pub class: ClassIndex,
     /// The partner.
-    pub partner: Index,
-    /// The index of the partner's plan.
-    pub plan: u32,
+    pub partner: PartnerIndex,
+    /// The partner's plan.
+    pub plan: PlanIndex,
     /// The units that the client states.
     pub units: f64,
     /// The true units, which the first good answer states; 0 where the client's are exact.
     pub true_units: f64,
     /// The limiter through which it comes.
-    pub limiter: Index,
+    pub limiter: LimiterIndex,
     /// The limiters through which the partner's requests come.
     pub limiter_set: LimiterSet,
     /// How long the client waits.
@@ -184,24 +185,24 @@
     /// A client sends a request.
     Request(ClientRequest),
     /// A host begins to drain.
-    DrainHost(Index),
+    DrainHost(HostIndex),
     /// A host's process dies: its connections are reset, new ones are refused.
-    KillHost(Index),
+    KillHost(HostIndex),
     /// A host's machine becomes unreachable: no answer, reset or notification comes from it.
-    IsolateHost(Index),
+    IsolateHost(HostIndex),
     /// A host's process starts and warms up.
-    StartHost(Index),
+    StartHost(HostIndex),
     /// A host's process dies and another host starts at its address.
     ReplaceHost {
         /// The host that dies.
-        old: Index,
+        old: HostIndex,
         /// The host that starts.
-        new: Index,
+        new: HostIndex,
     },
     /// A host's speed changes.
     SetHostSpeed {
         /// The host.
-        host: Index,
+        host: HostIndex,
         /// Its new relative speed.
         speed: f64,
     },
@@ -212,9 +213,9 @@
     /// Discovery stops to notify limiters (`false`), or notifies them of its whole list and goes on (`true`).
     SetDiscovery(bool),
     /// A limiter dies.
-    KillLimiter(Index),
+    KillLimiter(LimiterIndex),
     /// A limiter starts again without state.
-    StartLimiter(Index),
+    StartLimiter(LimiterIndex),
 }
 
 /// Something that happens at one of some moments.
@@ -240,7 +241,7 @@
 /// The processes, what is given, and what happens.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Scenario {
-    /// The settings of each limiter; `me`, `zone` and `limiter_count` are filled in for it.
+    /// The settings of each limiter; its own index, its zone and the number of limiters are filled in for it.
     pub settings: Settings,
     /// What holds in truth, whatever the limiters' settings say: how long hosts deduplicate, how they warm up, and
     /// when one that warms up is overloaded.
--- a/crates/simulation/src/simulation.rs
+++ b/crates/simulation/src/simulation.rs
@@ -24,7 +24,7 @@
 use crate::scenario::{option_of_variant, Scenario};
 use clients::Clients;
 use discovery::Discovery;
-use quartzcleat_decision::api::Nanos;
+use quartzcleat_decision::api::{LimiterIndex, Nanos};
 use quartzcleat_invariants::{Fact, Record};
 
 /// The result of a run.
@@ -232,16 +232,16 @@
     }
 
     /// The present incarnation of a limiter.
-    fn incarnation(&self, limiter: usize) -> LimiterIncarnation {
+    fn incarnation(&self, limiter: LimiterIndex) -> LimiterIncarnation {
         LimiterIncarnation {
             limiter,
-            incarnation: self.limiters[limiter].incarnation,
+            incarnation: self.limiters[limiter.as_usize()].incarnation,
         }
     }
 
     /// Whether this incarnation of a limiter still runs.
     fn is_current(&self, limiter: LimiterIncarnation) -> bool {
-        let present = &self.limiters[limiter.limiter];
+        let present = &self.limiters[limiter.limiter.as_usize()];
         present.is_up && present.incarnation == limiter.incarnation
     }
 }
--- a/crates/simulation/src/simulation/attempts.rs
+++ b/crates/simulation/src/simulation/attempts.rs
@@ -8,9 +8,10 @@
 use crate::oracle::ChoicePoint;
 use crate::scenario::AttemptOutcome;
 use quartzcleat_decision::api::{
-    self, AttemptIndex, DedupScope, Effect, HostId, LoadReport, Nanos, Outcome, RequestId,
+    self, ClassIndex, DedupScope, Effect, HostId, LimiterIndex, LoadReport, Nanos, Outcome,
+    RequestId,
 };
-use quartzcleat_invariants::{Answer, Fact};
+use quartzcleat_invariants::{Answer, Fact, HostIndex};
 use std::collections::VecDeque;
 
 /// How long a host takes to answer a repeat that it recognises.
@@ -22,26 +23,23 @@
     /// Sends an attempt as the engine orders. Where it must not be sent, the engine learns so at once.
     pub(super) fn send_attempt(
         &mut self,
-        limiter: usize,
+        limiter: LimiterIndex,
         request: RequestId,
         host: HostId,
         timeout: Nanos,
         events: &mut VecDeque<api::Event>,
     ) -> Result<(), Stopped> {
-        let host_index = host.0 as usize;
+        let host_index = HostIndex(host.0 as usize);
         let max_attempts = self.scenario.settings.attempts.max_per_request.max(1);
         let now = self.now;
-        let started = self.limiters[limiter].start_attempt(request, host_index, now, max_attempts);
+        let started =
+            self.limiters[limiter.as_usize()].start_attempt(request, host_index, now, max_attempts);
         match started {
-            Ok(attempt) if host_index < self.hosts.len() => {
+            Ok(attempt) if host_index.0 < self.hosts.len() => {
                 self.transmit_attempt(limiter, request, host_index, attempt, timeout)
             }
-            Ok(StartedAttempt { number, .. }) | Err(AttemptNotAllowed { number }) => {
-                events.push_back(api::Event::attempt_never_sent(
-                    request,
-                    AttemptIndex(number),
-                    host,
-                ));
+            Ok(StartedAttempt { attempt, .. }) | Err(AttemptNotAllowed { attempt }) => {
+                events.push_back(api::Event::attempt_never_sent(request, attempt, host));
                 Ok(())
             }
         }
@@ -49,18 +47,18 @@
 
     fn transmit_attempt(
         &mut self,
-        limiter: usize,
+        limiter: LimiterIndex,
         request: RequestId,
-        host: usize,
+        host: HostIndex,
         started: StartedAttempt,
         timeout: Nanos,
     ) -> Result<(), Stopped> {
         let now = self.now;
-        let capacity = self.hosts[host].capacity_factor(&self.scenario.ground_truth, now);
+        let capacity = self.hosts[host.0].capacity_factor(&self.scenario.ground_truth, now);
         self.record(Fact::AttemptSent {
             limiter,
             request,
-            attempt: started.number,
+            attempt: started.attempt,
             host,
             warming_up: capacity < 1.0,
         });
@@ -69,13 +67,13 @@
             timeout => started.deadline.min(now + timeout),
         };
         let outcomes = &self.scenario.attempt_outcomes;
-        let number = started.number as usize;
+        let number = started.attempt.as_usize();
         let choice = self.choose_numbered(ChoicePoint::Attempt, number, outcomes.len())?;
         let planned = outcomes.get(choice).copied();
         let attempt = AttemptKey {
             limiter,
             request,
-            attempt: started.number,
+            attempt: started.attempt,
         };
         self.schedule_attempt_end(ends_at - now, attempt, Outcome::Timeout);
         let delay = self.delay_to_host(limiter, host);
@@ -92,7 +90,7 @@
     fn apply_outcome(
         &mut self,
         attempt: AttemptKey,
-        host: usize,
+        host: HostIndex,
         outcome: AttemptOutcome,
         delay: Nanos,
     ) {
@@ -122,7 +120,7 @@
     pub(super) fn receive_attempt(
         &mut self,
         attempt: AttemptKey,
-        host: usize,
+        host: HostIndex,
         outcome: AttemptOutcome,
     ) {
         let Some(in_flight) = self.in_flight(attempt) else {
@@ -130,7 +128,7 @@
         };
         let work = self.work(in_flight.class);
         let truth = &self.scenario.ground_truth;
-        let arrival = self.hosts[host].receive(attempt, work, truth, self.now);
+        let arrival = self.hosts[host.0].receive(attempt, work, truth, self.now);
         let delay = self.delay_to_host(attempt.limiter, host);
         match arrival {
             Arrival::Started => self.execute(attempt, host, outcome),
@@ -147,13 +145,13 @@
     }
 
     /// A host executes an attempt.
-    fn execute(&mut self, attempt: AttemptKey, host: usize, outcome: AttemptOutcome) {
+    fn execute(&mut self, attempt: AttemptKey, host: HostIndex, outcome: AttemptOutcome) {
         let in_flight = self.in_flight(attempt);
         let operation = in_flight
             .map(|in_flight| in_flight.operation)
             .or_else(|| self.clients.operation_of(attempt.request))
             .unwrap_or(0);
-        let class = in_flight.map_or(0, |in_flight| in_flight.class);
+        let class = in_flight.map_or(ClassIndex(0), |in_flight| in_flight.class);
         let deduplicated = self.is_repeat(class, operation, host);
         self.record(Fact::Executed {
             host,
@@ -165,7 +163,7 @@
         } else {
             let work = self.work(class);
             let work = self.variation.vary(work);
-            self.hosts[host].execution_time(work, &self.scenario.ground_truth, self.now)
+            self.hosts[host.0].execution_time(work, &self.scenario.ground_truth, self.now)
         };
         let delay = self.delay_to_host(attempt.limiter, host);
         match outcome {
@@ -183,25 +181,25 @@
         let finished = Event::JobFinished {
             attempt,
             host,
-            process_start: self.hosts[host].started,
+            process_start: self.hosts[host.0].started,
         };
         self.schedule(elapsed, finished);
     }
 
     /// Whether a host recognises a repeat: one of its group executed the same key within the window. Otherwise the
     /// key's window begins now.
-    fn is_repeat(&mut self, class: usize, operation: u64, host: usize) -> bool {
-        let Some(class) = self.scenario.ground_truth.classes.get(class) else {
+    fn is_repeat(&mut self, class: ClassIndex, operation: u64, host: HostIndex) -> bool {
+        let Some(class) = self.scenario.ground_truth.classes.get(class.as_usize()) else {
             return false;
         };
         if class.effect != Effect::IdempotentWithKey {
             return false;
         }
-        let process = &self.scenario.processes.hosts[host];
+        let process = &self.scenario.processes.hosts[host.0];
         let group = match class.dedup_scope {
             DedupScope::All => 0,
-            DedupScope::Zone => process.zone + 1,
-            DedupScope::Cell => process.cell + 1,
+            DedupScope::Zone => process.zone.0 + 1,
+            DedupScope::Cell => process.cell.0 + 1,
         };
         let key = GroupKey { group, operation };
         let is_repeat = self
@@ -215,8 +213,8 @@
     }
 
     /// A host has finished a job and takes the next one from its queue.
-    pub(super) fn finish_job(&mut self, host: usize, process_start: Nanos) {
-        let state = &mut self.hosts[host];
+    pub(super) fn finish_job(&mut self, host: HostIndex, process_start: Nanos) {
+        let state = &mut self.hosts[host.0];
         // A job of a process that is gone has ended with it.
         if state.started != process_start || state.status != HostStatus::Running {
             return;
@@ -236,15 +234,17 @@
             return Ok(());
         };
         let is_good = outcome == Outcome::Good;
-        if is_good && self.hosts[in_flight.host].status == HostStatus::Unreachable {
+        if is_good && self.hosts[in_flight.host.0].status == HostStatus::Unreachable {
             // The answer comes from a machine that is unreachable by now.
             return Ok(());
         }
-        self.limiters[attempt.limiter].in_flight.remove(&AttemptId {
-            request: attempt.request,
-            number: attempt.attempt,
-        });
-        self.hosts[in_flight.host].cancel(attempt);
+        self.limiters[attempt.limiter.as_usize()]
+            .in_flight
+            .remove(&AttemptId {
+                request: attempt.request,
+                attempt: attempt.attempt,
+            });
+        self.hosts[in_flight.host.0].cancel(attempt);
         self.record(Fact::AttemptEnded {
             request: attempt.request,
             attempt: attempt.attempt,
@@ -265,8 +265,8 @@
         }
         let done = api::Event::AttemptDone {
             id: attempt.request,
-            attempt: AttemptIndex(attempt.attempt),
-            host: HostId(in_flight.host as u32),
+            attempt: attempt.attempt,
+            host: HostId(in_flight.host.0 as u32),
             outcome,
             elapsed: self.now - in_flight.started,
             is_request_finished: false,
@@ -278,23 +278,24 @@
     }
 
     /// A host's process dies, and the connections of its attempts are reset.
-    pub(super) fn kill_host(&mut self, host: usize) {
-        self.hosts[host].stop(HostStatus::Dead);
+    pub(super) fn kill_host(&mut self, host: HostIndex) {
+        self.hosts[host.0].stop(HostStatus::Dead);
         for attempt in self.attempts_at(host) {
             let delay = self.delay_to_host(attempt.limiter, host);
             self.schedule_attempt_end(delay, attempt, Outcome::Reset);
         }
     }
 
-    fn attempts_at(&self, host: usize) -> Vec<AttemptKey> {
+    fn attempts_at(&self, host: HostIndex) -> Vec<AttemptKey> {
         let mut attempts = Vec::new();
-        for (limiter, state) in self.limiters.iter().enumerate() {
+        for (position, state) in self.limiters.iter().enumerate() {
+            let limiter = LimiterIndex::from_usize(position);
             for (id, in_flight) in &state.in_flight {
                 if in_flight.host == host {
                     attempts.push(AttemptKey {
                         limiter,
                         request: id.request,
-                        attempt: id.number,
+                        attempt: id.attempt,
                     });
                 }
             }
@@ -307,30 +308,30 @@
     }
 
     fn in_flight(&self, attempt: AttemptKey) -> Option<InFlightAttempt> {
-        self.limiters[attempt.limiter].attempt(attempt.request, attempt.attempt)
+        self.limiters[attempt.limiter.as_usize()].attempt(attempt.request, attempt.attempt)
     }
 
     /// A one-way delay between a limiter and a host.
-    fn delay_to_host(&mut self, limiter: usize, host: usize) -> Nanos {
+    fn delay_to_host(&mut self, limiter: LimiterIndex, host: HostIndex) -> Nanos {
         let processes = &self.scenario.processes;
-        let from = processes.limiters[limiter].zone;
-        let to = processes.hosts[host].zone;
+        let from = processes.limiters[limiter.as_usize()].zone;
+        let to = processes.hosts[host.0].zone;
         self.network.delay_between(from, to, &mut self.variation)
     }
 
-    fn work(&self, class: usize) -> Nanos {
+    fn work(&self, class: ClassIndex) -> Nanos {
         self.scenario
             .work
-            .get(class)
+            .get(class.as_usize())
             .copied()
             .unwrap_or(DEFAULT_WORK)
     }
 
-    fn latency_objective(&self, class: usize) -> Nanos {
+    fn latency_objective(&self, class: ClassIndex) -> Nanos {
         self.scenario
             .ground_truth
             .classes
-            .get(class)
+            .get(class.as_usize())
             .map_or(0, |class| class.latency_objective)
     }
 }
--- a/crates/simulation/src/simulation/clients.rs
+++ b/crates/simulation/src/simulation/clients.rs
@@ -3,7 +3,7 @@
 use super::{Simulation, Stopped};
 use crate::event_queue::Event;
 use crate::scenario::ClientRequest;
-use quartzcleat_decision::api::{Nanos, RequestId};
+use quartzcleat_decision::api::{LimiterIndex, Nanos, RequestId};
 use quartzcleat_invariants::{Answer, Fact};
 use std::collections::BTreeMap;
 
@@ -45,7 +45,7 @@
     }
 
     /// The connections to a limiter are gone, and with them the answers that were pending.
-    pub(super) fn disconnect_from(&mut self, limiter: usize) {
+    pub(super) fn disconnect_from(&mut self, limiter: LimiterIndex) {
         for operation in self.operations.values_mut() {
             if operation.request.limiter == limiter {
                 operation.is_open = false;
@@ -83,7 +83,7 @@
                 return Ok(());
             }
         }
-        if !self.limiters[request.limiter].is_up {
+        if !self.limiters[request.limiter.as_usize()].is_up {
             let limiter = self.scenario.processes.limiter(request.limiter);
             self.record(Fact::Note(format!("{limiter} takes no connection")));
             return Ok(());
@@ -93,8 +93,11 @@
     }
 
     /// Gives a request its final answer, if it is still open at its limiter.
-    pub(super) fn answer(&mut self, limiter: usize, request: RequestId, answer: Answer) {
-        let Some(open) = self.limiters[limiter].open_requests.remove(&request) else {
+    pub(super) fn answer(&mut self, limiter: LimiterIndex, request: RequestId, answer: Answer) {
+        let Some(open) = self.limiters[limiter.as_usize()]
+            .open_requests
+            .remove(&request)
+        else {
             return;
         };
         self.record(Fact::Answered { request, answer });
--- a/crates/simulation/src/simulation/counter_calls.rs
+++ b/crates/simulation/src/simulation/counter_calls.rs
@@ -5,18 +5,18 @@
 use crate::event_queue::{CounterCall, Event, LimiterIncarnation};
 use crate::oracle::ChoicePoint;
 use crate::scenario::CounterCallOutcome;
-use quartzcleat_decision::api::{Nanos, Outcome};
+use quartzcleat_decision::api::{LimiterIndex, Nanos, Outcome};
 
 impl Simulation<'_> {
     /// A limiter calls the counter.
     pub(super) fn call_counter(
         &mut self,
-        limiter: usize,
+        limiter: LimiterIndex,
         name: String,
         amount: f64,
         keep_for: Nanos,
     ) -> Result<(), Stopped> {
-        let number = self.limiters[limiter].start_call(&name, self.now);
+        let number = self.limiters[limiter.as_usize()].start_call(&name, self.now);
         let timeout = self.scenario.settings.counter.timeout.max(1);
         let outcomes = &self.scenario.counter.call_outcomes;
         let choice = self.choose_numbered(
@@ -106,7 +106,7 @@
             return Ok(());
         }
         let reply = CounterReply { outcome, total };
-        let events = self.limiters[caller.limiter].end_call(number, reply, self.now);
+        let events = self.limiters[caller.limiter.as_usize()].end_call(number, reply, self.now);
         for event in events {
             self.handle(caller.limiter, event)?;
         }
--- a/crates/simulation/src/simulation/discovery.rs
+++ b/crates/simulation/src/simulation/discovery.rs
@@ -4,8 +4,8 @@
 use crate::event_queue::{Event, LimiterIncarnation};
 use crate::host::HostStatus;
 use crate::oracle::ChoicePoint;
-use quartzcleat_decision::api::{self, CellId, HostEntry, HostId, HostState, ListMode, ZoneId};
-use quartzcleat_invariants::Fact;
+use quartzcleat_decision::api::{self, HostEntry, HostId, HostState, LimiterIndex, ListMode};
+use quartzcleat_invariants::{Fact, HostIndex};
 
 /// What discovery holds.
 #[derive(Debug)]
@@ -31,14 +31,15 @@
     /// Lists the hosts that are there at the start.
     pub(super) fn list_present_hosts(&mut self) {
         self.discovery.entries = (0..self.hosts.len())
-            .filter(|host| !self.scenario.hosts[*host].absent)
+            .map(HostIndex)
+            .filter(|host| !self.scenario.hosts[host.0].absent)
             .map(|host| self.host_entry(host))
             .collect();
     }
 
-    fn host_entry(&self, host: usize) -> HostEntry {
-        let process = &self.scenario.processes.hosts[host];
-        let present = &self.hosts[host];
+    fn host_entry(&self, host: HostIndex) -> HostEntry {
+        let process = &self.scenario.processes.hosts[host.0];
+        let present = &self.hosts[host.0];
         let state = match (present.status, present.draining) {
             (HostStatus::Dead, _) => HostState::Gone,
             (_, true) => HostState::Draining,
@@ -46,18 +47,18 @@
             _ => HostState::Ready,
         };
         HostEntry {
-            host: HostId(host as u32),
+            host: HostId(host.0 as u32),
             state,
-            cell: CellId(process.cell),
-            zone: ZoneId(process.zone),
+            cell: process.cell,
+            zone: process.zone,
             kind: 0,
             started: present.started,
-            weight: self.scenario.hosts[host].weight,
+            weight: self.scenario.hosts[host.0].weight,
         }
     }
 
     /// Discovery learns of a host's change and notifies the limiters.
-    pub(super) fn update_host(&mut self, host: usize) -> Result<(), Stopped> {
+    pub(super) fn update_host(&mut self, host: HostIndex) -> Result<(), Stopped> {
         let entry = self.host_entry(host);
         let entries = &mut self.discovery.entries;
         entries.retain(|listed| listed.host != entry.host);
@@ -82,7 +83,7 @@
     }
 
     fn notify_all(&mut self, mode: ListMode, entries: Vec<HostEntry>) -> Result<(), Stopped> {
-        for limiter in 0..self.limiters.len() {
+        for limiter in self.scenario.processes.limiter_indices() {
             let delays = &self.scenario.discovery_delays;
             let choice = self.choose(ChoicePoint::DiscoveryDelay, delays.len())?;
             let delay = delays.get(choice).copied().unwrap_or(0);
@@ -120,9 +121,9 @@
     }
 
     /// Records that the hosts which a whole list leaves out are gone for a limiter.
-    fn record_unlisted_hosts(&mut self, limiter: usize, entries: &[HostEntry]) {
-        for host in 0..self.hosts.len() {
-            let is_listed = entries.iter().any(|entry| entry.host.0 as usize == host);
+    fn record_unlisted_hosts(&mut self, limiter: LimiterIndex, entries: &[HostEntry]) {
+        for host in (0..self.hosts.len()).map(HostIndex) {
+            let is_listed = entries.iter().any(|entry| host_index(entry) == host);
             if !is_listed {
                 self.record(Fact::HostStateLearned {
                     limiter,
@@ -133,13 +134,18 @@
         }
     }
 
-    pub(super) fn record_host_states(&mut self, limiter: usize, entries: &[HostEntry]) {
+    pub(super) fn record_host_states(&mut self, limiter: LimiterIndex, entries: &[HostEntry]) {
         for entry in entries {
             self.record(Fact::HostStateLearned {
                 limiter,
-                host: entry.host.0 as usize,
+                host: host_index(entry),
                 state: entry.state,
             });
         }
     }
 }
+
+/// The host of an entry; the engines of the simulation know hosts by their positions.
+fn host_index(entry: &HostEntry) -> HostIndex {
+    HostIndex(entry.host.0 as usize)
+}
--- a/crates/simulation/src/simulation/environment.rs
+++ b/crates/simulation/src/simulation/environment.rs
@@ -3,8 +3,8 @@
 use super::{Simulation, Stopped};
 use crate::host::{AttemptKey, HostStatus, MIN_SPEED};
 use crate::scenario::ScenarioEvent;
-use quartzcleat_decision::api::Outcome;
-use quartzcleat_invariants::{Fact, Processes};
+use quartzcleat_decision::api::{LimiterIndex, Outcome};
+use quartzcleat_invariants::{Fact, HostIndex, Processes};
 
 impl Simulation<'_> {
     pub(super) fn apply_scenario_event(&mut self, event: ScenarioEvent) -> Result<(), Stopped> {
@@ -14,7 +14,7 @@
         match event {
             ScenarioEvent::Request(request) => self.send_request(request),
             ScenarioEvent::DrainHost(host) => {
-                self.hosts[host].draining = true;
+                self.hosts[host.0].draining = true;
                 self.update_host(host)
             }
             ScenarioEvent::KillHost(host) => {
@@ -22,7 +22,7 @@
                 self.update_host(host)
             }
             ScenarioEvent::IsolateHost(host) => {
-                self.hosts[host].stop(HostStatus::Unreachable);
+                self.hosts[host.0].stop(HostStatus::Unreachable);
                 Ok(())
             }
             ScenarioEvent::StartHost(host) => self.start_host(host),
@@ -32,7 +32,7 @@
                 self.start_host(new)
             }
             ScenarioEvent::SetHostSpeed { host, speed } => {
-                self.hosts[host].speed = speed.max(MIN_SPEED);
+                self.hosts[host.0].speed = speed.max(MIN_SPEED);
                 Ok(())
             }
             ScenarioEvent::SetCounterMode(mode) => {
@@ -49,35 +49,35 @@
                 Ok(())
             }
             ScenarioEvent::StartLimiter(limiter) => {
-                let incarnation = self.limiters[limiter].incarnation + 1;
-                self.limiters[limiter] = self.new_limiter(limiter, incarnation);
+                let incarnation = self.limiters[limiter.as_usize()].incarnation + 1;
+                self.limiters[limiter.as_usize()] = self.new_limiter(limiter, incarnation);
                 self.restore_host_list(limiter)
             }
         }
     }
 
-    fn start_host(&mut self, host: usize) -> Result<(), Stopped> {
-        self.hosts[host].start(self.now);
+    fn start_host(&mut self, host: HostIndex) -> Result<(), Stopped> {
+        self.hosts[host.0].start(self.now);
         self.record(Fact::HostStarted { host });
         self.update_host(host)
     }
 
     /// A limiter dies with its open requests and its attempts in flight.
-    fn kill_limiter(&mut self, limiter: usize) {
+    fn kill_limiter(&mut self, limiter: LimiterIndex) {
         self.record(Fact::LimiterDied { limiter });
-        let state = &mut self.limiters[limiter];
+        let state = &mut self.limiters[limiter.as_usize()];
         state.is_up = false;
         state.open_requests.clear();
         let in_flight = std::mem::take(&mut state.in_flight);
         for (id, attempt) in in_flight {
-            self.hosts[attempt.host].cancel(AttemptKey {
+            self.hosts[attempt.host.0].cancel(AttemptKey {
                 limiter,
                 request: id.request,
-                attempt: id.number,
+                attempt: id.attempt,
             });
             self.record(Fact::AttemptEnded {
                 request: id.request,
-                attempt: id.number,
+                attempt: id.attempt,
                 outcome: Outcome::Reset,
             });
         }
@@ -88,7 +88,7 @@
 impl ScenarioEvent {
     /// The event in words, where no other fact of the run tells it.
     fn describe(&self, processes: &Processes) -> Option<String> {
-        let host = |index: usize| processes.host(index);
+        let host = |index: HostIndex| processes.host(index);
         let text = match self {
             ScenarioEvent::Request(_)
             | ScenarioEvent::StartHost(_)
--- a/crates/simulation/src/simulation/limiters.rs
+++ b/crates/simulation/src/simulation/limiters.rs
@@ -6,18 +6,22 @@
 use crate::limiter::OpenRequest;
 use crate::scenario::ClientRequest;
 use quartzcleat_decision::api::{
-    self, Action, ClassIndex, CustomerId, LimiterIndex, Outcome, PlanIndex, RequestId, Timer,
+    self, Action, AttemptIndex, CustomerId, LimiterIndex, Outcome, RequestId, Timer,
 };
 use quartzcleat_invariants::{Answer, Fact};
 use std::collections::VecDeque;
 
 impl Simulation<'_> {
     /// Gives an event to a limiter's engine and carries out its actions. Events that these cause at once follow.
-    pub(super) fn handle(&mut self, limiter: usize, event: api::Event) -> Result<(), Stopped> {
+    pub(super) fn handle(
+        &mut self,
+        limiter: LimiterIndex,
+        event: api::Event,
+    ) -> Result<(), Stopped> {
         let mut events = VecDeque::from([event]);
         let mut actions = Vec::new();
         while let Some(mut event) = events.pop_front() {
-            let state = &mut self.limiters[limiter];
+            let state = &mut self.limiters[limiter.as_usize()];
             if let api::Event::AttemptDone {
                 id,
                 is_request_finished,
@@ -36,7 +40,7 @@
 
     fn carry_out(
         &mut self,
-        limiter: usize,
+        limiter: LimiterIndex,
         action: Action,
         events: &mut VecDeque<api::Event>,
     ) -> Result<(), Stopped> {
@@ -44,7 +48,7 @@
             Action::Attempt {
                 id, host, timeout, ..
             } => self.send_attempt(limiter, id, host, timeout, events)?,
-            Action::CancelAttempt { id, attempt } => self.cancel_attempt(limiter, id, attempt.0),
+            Action::CancelAttempt { id, attempt } => self.cancel_attempt(limiter, id, attempt),
             Action::Reject { id, retry_after } => {
                 self.answer(limiter, id, Answer::Rejected(retry_after));
             }
@@ -71,8 +75,8 @@
         Ok(())
     }
 
-    fn cancel_attempt(&mut self, limiter: usize, request: RequestId, attempt: u32) {
-        let Some(in_flight) = self.limiters[limiter].attempt(request, attempt) else {
+    fn cancel_attempt(&mut self, limiter: LimiterIndex, request: RequestId, attempt: AttemptIndex) {
+        let Some(in_flight) = self.limiters[limiter.as_usize()].attempt(request, attempt) else {
             return;
         };
         let attempt = AttemptKey {
@@ -80,7 +84,7 @@
             request,
             attempt,
         };
-        self.hosts[in_flight.host].cancel(attempt);
+        self.hosts[in_flight.host.0].cancel(attempt);
         let outcome = Outcome::Cancelled;
         self.schedule(0, Event::AttemptEnds { attempt, outcome });
     }
@@ -103,7 +107,9 @@
         request: RequestId,
     ) -> Result<(), Stopped> {
         let index = limiter.limiter;
-        let is_open = self.limiters[index].open_requests.contains_key(&request);
+        let is_open = self.limiters[index.as_usize()]
+            .open_requests
+            .contains_key(&request);
         if self.is_current(limiter) && is_open {
             self.answer(index, request, Answer::Failed);
             self.handle(index, api::Event::Abandoned { id: request })?;
@@ -133,7 +139,7 @@
             deadline,
             attempts: 0,
         };
-        self.limiters[request.limiter]
+        self.limiters[request.limiter.as_usize()]
             .open_requests
             .insert(id, open);
         let due = Event::AnswerDue {
@@ -148,13 +154,13 @@
         );
         let event = api::Event::Request {
             id,
-            class: ClassIndex::from_usize(request.class),
-            plan: PlanIndex(request.plan),
-            customer: CustomerId(request.partner as u64 + 1),
+            class: request.class,
+            plan: request.plan,
+            customer: CustomerId(request.partner.0 as u64 + 1),
             budget: request.timeout,
             units: request.units,
             spread: request.limiter_set.count,
-            first_limiter: LimiterIndex(request.limiter_set.first),
+            first_limiter: request.limiter_set.first,
             flags: 0,
         };
         self.handle(request.limiter, event)
--- a/crates/simulation/src/simulation/setup.rs
+++ b/crates/simulation/src/simulation/setup.rs
@@ -6,7 +6,7 @@
 use crate::limiter::Limiter;
 use crate::network::Variation;
 use crate::oracle::ChoicePoint;
-use quartzcleat_decision::api::{self, LimiterIndex, ListMode, Nanos, ZoneId};
+use quartzcleat_decision::api::{self, LimiterIndex, ListMode, Nanos};
 use std::collections::BTreeSet;
 
 /// Separates the random numbers of the environment from those of the limiters, which use the seed itself.
@@ -35,7 +35,7 @@
             .map(|setup| Host::new(setup, self.start))
             .collect();
         self.list_present_hosts();
-        for limiter in 0..scenario.processes.limiters.len() {
+        for limiter in scenario.processes.limiter_indices() {
             let fresh = self.new_limiter(limiter, 0);
             self.limiters.push(fresh);
             self.restore_host_list(limiter)?;
@@ -71,19 +71,19 @@
     }
 
     /// A new incarnation of a limiter, without state.
-    pub(super) fn new_limiter(&self, limiter: usize, incarnation: u32) -> Limiter {
+    pub(super) fn new_limiter(&self, limiter: LimiterIndex, incarnation: u32) -> Limiter {
         let processes = &self.scenario.processes;
         let mut settings = self.scenario.settings.clone();
-        settings.limiters.own_index = LimiterIndex::from_usize(limiter);
+        settings.limiters.own_index = limiter;
         settings.limiters.count = processes.limiters.len() as u32;
-        settings.limiters.own_zone = ZoneId(processes.limiters[limiter].zone);
-        let own = limiter as u64 * LIMITER_SEED_STEP + u64::from(incarnation);
+        settings.limiters.own_zone = processes.limiters[limiter.as_usize()].zone;
+        let own = u64::from(limiter.0) * LIMITER_SEED_STEP + u64::from(incarnation);
         let seed = self.seed.wrapping_mul(SEED_FACTOR).wrapping_add(own);
         Limiter::new(settings, seed, self.now, incarnation)
     }
 
     /// Gives a new limiter discovery's list, as if it had read it from its state file.
-    pub(super) fn restore_host_list(&mut self, limiter: usize) -> Result<(), Stopped> {
+    pub(super) fn restore_host_list(&mut self, limiter: LimiterIndex) -> Result<(), Stopped> {
         let entries = self.discovery.entries.clone();
         self.record_host_states(limiter, &entries);
         let hosts = api::Event::Hosts {
--- a/crates/simulation/tests/simulation.rs
+++ b/crates/simulation/tests/simulation.rs
@@ -1,34 +1,60 @@
 //! Runs of the simulation: what happens in them is what the scenario says, the same each time, within the invariants.
 
-use quartzcleat_decision::api::*;
+use quartzcleat_decision::api::{
+    AttemptIndex, AttemptSettings, BackoffSettings, Capabilities, CellId, Class, ClassIndex,
+    CounterSettings, DedupScope, Effect, GraceSettings, LimiterIndex, LimiterSettings, Nanos,
+    Outcome, Plan, PlanIndex, Settings, SlowStartSettings, UnitSettings, ZoneId,
+};
 use quartzcleat_invariants::{
-    check, Answer, Fact, InvariantLimits, Process, Processes, Record, Violation,
+    check, Answer, Fact, HostIndex, InvariantLimits, PartnerIndex, Process, Processes, Record,
+    Violation,
 };
 use quartzcleat_simulation::oracle::{ChoicePath, FirstOption};
-use quartzcleat_simulation::scenario::*;
+use quartzcleat_simulation::scenario::{
+    AttemptOutcome, ClientRequest, CounterCallOutcome, CounterMode, CounterSetup, HostSetup,
+    LimiterSet, NetworkDelays, RetryPolicy, Scenario, ScenarioEvent, Step,
+};
 use quartzcleat_simulation::{simulate, ChoicePoint, Oracle};
 
-const MS: Nanos = 1_000_000;
-const S: Nanos = 1_000 * MS;
-const START: Nanos = 1_000_000 * S;
+const MILLISECOND: Nanos = 1_000_000;
+const SECOND: Nanos = 1_000 * MILLISECOND;
+const START: Nanos = 1_000_000 * SECOND;
 
-fn settings() -> Settings {
-    let class = |name: &str, effect, latency_objective, deadline| Class {
-        name: name.into(),
-        effect,
+/// An idempotent class.
+const BED_CHECK: ClassIndex = ClassIndex(0);
+/// A class with idempotency keys.
+const BED_HOLD: ClassIndex = ClassIndex(1);
+const BED_CHECK_DEADLINE: Nanos = 7_500 * MILLISECOND;
+const BED_HOLD_DEADLINE: Nanos = 4 * SECOND;
+
+fn classes() -> Vec<Class> {
+    let class = Class {
         dedup_scope: DedupScope::All,
-        dedup_window: 4 * S,
-        latency_objective,
-        deadline,
+        dedup_window: 4 * SECOND,
         priority_weight: 2.0,
         late_weight: 0.2,
         ..Class::default()
     };
+    let bed_check = Class {
+        name: "bed-check".into(),
+        effect: Effect::Idempotent,
+        latency_objective: 2 * SECOND,
+        deadline: BED_CHECK_DEADLINE,
+        ..class.clone()
+    };
+    let bed_hold = Class {
+        name: "bed-hold".into(),
+        effect: Effect::IdempotentWithKey,
+        latency_objective: SECOND,
+        deadline: BED_HOLD_DEADLINE,
+        ..class
+    };
+    vec![bed_check, bed_hold]
+}
+
+fn settings() -> Settings {
     Settings {
-        classes: vec![
-            class("bed-check", Effect::Idempotent, 2 * S, 7_500 * MS),
-            class("bed-hold", Effect::IdempotentWithKey, S, 4 * S),
-        ],
+        classes: classes(),
         plans: vec![Plan {
             name: "guide".into(),
             rate: 1.6,
@@ -37,12 +63,12 @@
             ..Plan::default()
         }],
         limiters: LimiterSettings {
-            tick: 4 * MS,
+            tick: 4 * MILLISECOND,
             ..LimiterSettings::default()
         },
         counter: CounterSettings {
             is_available: true,
-            timeout: 30 * MS,
+            timeout: 30 * MILLISECOND,
             ..CounterSettings::default()
         },
         units: UnitSettings {
@@ -55,22 +81,22 @@
         },
         backoff: BackoffSettings {
             sends_retry_after: true,
-            longest_retry_after: S,
+            longest_retry_after: SECOND,
         },
         attempts: AttemptSettings {
             max_per_request: 4,
             max_requests_in_progress: 20_000,
-            connect_timeout: 250 * MS,
+            connect_timeout: 250 * MILLISECOND,
         },
         grace: GraceSettings {
-            answer: 16 * MS,
-            drain: S,
+            answer: 16 * MILLISECOND,
+            drain: SECOND,
         },
         slow_start: SlowStartSettings {
             initial_capacity: 0.15,
-            duration: 18 * S,
+            duration: 18 * SECOND,
             overload_factor: 3.0,
-            overload_duration: 1_500 * MS,
+            overload_duration: 1_500 * MILLISECOND,
         },
         ..Settings::default()
     }
@@ -79,8 +105,8 @@
 fn scenario(hosts: u32, steps: Vec<Step>) -> Scenario {
     let process = |name: String, zone| Process {
         name,
-        zone,
-        cell: 0,
+        zone: ZoneId(zone),
+        cell: CellId(0),
     };
     let processes = Processes {
         zones: vec!["room-a".into(), "room-b".into(), "room-c".into()],
@@ -105,26 +131,33 @@
         discovery_delays: vec![0],
         counter: CounterSetup::default(),
         attempt_outcomes: vec![AttemptOutcome::Normal],
-        work: vec![180 * MS, 110 * MS],
+        work: vec![180 * MILLISECOND, 110 * MILLISECOND],
         log_deviation: 0.0,
         steps,
         retry: None,
-        max_duration: 20 * S,
+        max_duration: 20 * SECOND,
         variant: None,
     }
 }
 
-fn request(operation: u64, class: usize, limiter: usize) -> ScenarioEvent {
-    let timeout = if class == 0 { 7_500 * MS } else { 4 * S };
+fn request(operation: u64, class: ClassIndex, limiter: LimiterIndex) -> ScenarioEvent {
+    let timeout = if class == BED_CHECK {
+        BED_CHECK_DEADLINE
+    } else {
+        BED_HOLD_DEADLINE
+    };
     ScenarioEvent::Request(ClientRequest {
         operation,
         class,
-        partner: 0,
-        plan: 0,
+        partner: PartnerIndex(0),
+        plan: PlanIndex(0),
         units: 1.0,
         true_units: 0.0,
         limiter,
-        limiter_set: LimiterSet { count: 3, first: 0 },
+        limiter_set: LimiterSet {
+            count: 3,
+            first: LimiterIndex(0),
+        },
         timeout,
         retry: false,
     })
@@ -138,13 +171,18 @@
     }
 }
 
+/// The limiter of a request that comes through all of them in turn.
+fn limiter_in_turn(request: u64) -> LimiterIndex {
+    LimiterIndex((request % 3) as u32)
+}
+
 /// Requests of alternating classes through all limiters in turn.
 fn mixed_requests(count: u64, interval: Nanos) -> Vec<Step> {
     (0..count)
         .map(|number| {
-            let class = (number % 2) as usize;
-            let limiter = (number % 3) as usize;
-            step(&[number * interval], request(number, class, limiter))
+            let class = if number % 2 == 0 { BED_CHECK } else { BED_HOLD };
+            let event = request(number, class, limiter_in_turn(number));
+            step(&[number * interval], event)
         })
         .collect()
 }
@@ -171,7 +209,7 @@
 
 #[test]
 fn request_is_served_after_its_work_and_two_network_delays() {
-    let scenario = scenario(3, vec![step(&[0], request(1, 1, 0))]);
+    let scenario = scenario(3, vec![step(&[0], request(1, BED_HOLD, LimiterIndex(0)))]);
     let run = simulate(&scenario, &mut FirstOption);
     assert!(run.is_complete);
     assert_eq!(answers(&run.records), [Answer::Served]);
@@ -182,12 +220,15 @@
         .expect("the request is answered");
     let elapsed = answered.at - START;
     // An addition and a read at the counter, 110 ms of work and the delays to the host and back.
-    assert!((110 * MS..118 * MS).contains(&elapsed), "{elapsed}");
+    assert!(
+        (110 * MILLISECOND..118 * MILLISECOND).contains(&elapsed),
+        "{elapsed}"
+    );
 }
 
 #[test]
 fn same_scenario_gives_the_same_records() {
-    let mut scenario = scenario(4, mixed_requests(40, 20 * MS));
+    let mut scenario = scenario(4, mixed_requests(40, 20 * MILLISECOND));
     scenario.log_deviation = 0.4;
     let first = simulate(&scenario, &mut FirstOption);
     let second = simulate(&scenario, &mut FirstOption);
@@ -206,14 +247,20 @@
     let steps = (0..40)
         .map(|number| {
             step(
-                &[number * 5 * MS],
-                request(number, 1, (number % 3) as usize),
+                &[number * 5 * MILLISECOND],
+                request(number, BED_HOLD, limiter_in_turn(number)),
             )
         })
         .collect();
     let run = simulate(&scenario(9, steps), &mut FirstOption);
     let forwarded = count(&run.records, |fact| {
-        matches!(fact, Fact::AttemptSent { attempt: 0, .. })
+        matches!(
+            fact,
+            Fact::AttemptSent {
+                attempt: AttemptIndex(0),
+                ..
+            }
+        )
     });
     // As a window begins the largest request, 6 units, is in store.
     assert!(
@@ -225,7 +272,7 @@
 
 #[test]
 fn reset_attempt_is_retried_and_its_repeat_deduplicated() {
-    let mut scenario = scenario(3, vec![step(&[0], request(1, 1, 0))]);
+    let mut scenario = scenario(3, vec![step(&[0], request(1, BED_HOLD, LimiterIndex(0)))]);
     scenario.attempt_outcomes = vec![AttemptOutcome::Normal, AttemptOutcome::ResetAfterExecution];
     let run = simulate(&scenario, &mut ChoicePath::new(vec![1, 0]));
     assert_eq!(answers(&run.records), [Answer::Served]);
@@ -242,37 +289,44 @@
     assert_eq!(violations(&scenario, &run.records), []);
 }
 
+/// A run of one request whose host meets an event while it executes the request.
+fn run_with_event_at_host(event: ScenarioEvent) -> Vec<Record> {
+    let steps = vec![
+        step(&[0], request(1, BED_CHECK, LimiterIndex(0))),
+        step(&[50 * MILLISECOND], event),
+    ];
+    simulate(&scenario(1, steps), &mut FirstOption).records
+}
+
+fn attempts_with_outcome(records: &[Record], expected: Outcome) -> usize {
+    count(
+        records,
+        |fact| matches!(fact, Fact::AttemptEnded { outcome, .. } if *outcome == expected),
+    )
+}
+
 #[test]
-fn dead_host_resets_its_attempts_and_unreachable_host_sends_nothing() {
-    let run = |event| {
-        let steps = vec![step(&[0], request(1, 0, 0)), step(&[50 * MS], event)];
-        simulate(&scenario(1, steps), &mut FirstOption)
-    };
-    let ended = |records: &[Record], expected: Outcome| {
-        count(
-            records,
-            |fact| matches!(fact, Fact::AttemptEnded { outcome, .. } if *outcome == expected),
-        )
-    };
-    let dead = run(ScenarioEvent::KillHost(0));
-    assert_eq!(ended(&dead.records, Outcome::Reset), 1);
-    let unreachable = run(ScenarioEvent::IsolateHost(0));
-    assert!(
-        !answers(&unreachable.records).is_empty(),
-        "answered all the same"
-    );
-    assert_eq!(ended(&unreachable.records, Outcome::Good), 0);
+fn dead_host_resets_its_attempts() {
+    let records = run_with_event_at_host(ScenarioEvent::KillHost(HostIndex(0)));
+    assert_eq!(attempts_with_outcome(&records, Outcome::Reset), 1);
+}
+
+#[test]
+fn unreachable_host_sends_nothing_and_its_request_is_answered_all_the_same() {
+    let records = run_with_event_at_host(ScenarioEvent::IsolateHost(HostIndex(0)));
+    assert!(!answers(&records).is_empty());
+    assert_eq!(attempts_with_outcome(&records, Outcome::Good), 0);
 }
 
 #[test]
 fn clients_retry_once_through_the_next_limiter() {
     let steps = vec![
-        step(&[0], ScenarioEvent::KillHost(0)),
-        step(&[10 * MS], request(1, 0, 2)),
+        step(&[0], ScenarioEvent::KillHost(HostIndex(0))),
+        step(&[10 * MILLISECOND], request(1, BED_CHECK, LimiterIndex(2))),
     ];
     let mut scenario = scenario(1, steps);
     scenario.retry = Some(RetryPolicy {
-        delay: 100 * MS,
+        delay: 100 * MILLISECOND,
         next_limiter: true,
     });
     let run = simulate(&scenario, &mut FirstOption);
@@ -288,17 +342,20 @@
             _ => None,
         })
         .collect();
-    assert_eq!(limiters, [2, 0]);
+    assert_eq!(limiters, [LimiterIndex(2), LimiterIndex(0)]);
 }
 
 #[test]
 fn limiter_that_dies_has_no_pending_responses_and_starts_again() {
     let steps = vec![
-        step(&[0], request(1, 0, 0)),
-        step(&[20 * MS], ScenarioEvent::KillLimiter(0)),
-        step(&[30 * MS], request(2, 0, 0)),
-        step(&[S], ScenarioEvent::StartLimiter(0)),
-        step(&[2 * S], request(3, 0, 0)),
+        step(&[0], request(1, BED_CHECK, LimiterIndex(0))),
+        step(
+            &[20 * MILLISECOND],
+            ScenarioEvent::KillLimiter(LimiterIndex(0)),
+        ),
+        step(&[30 * MILLISECOND], request(2, BED_CHECK, LimiterIndex(0))),
+        step(&[SECOND], ScenarioEvent::StartLimiter(LimiterIndex(0))),
+        step(&[2 * SECOND], request(3, BED_CHECK, LimiterIndex(0))),
     ];
     let scenario = scenario(2, steps);
     let run = simulate(&scenario, &mut FirstOption);
@@ -321,22 +378,28 @@
 
 /// A scenario in which attempts, counter calls, hosts and discovery may fail in every way.
 fn scenario_with_faults() -> Scenario {
-    let mut steps = mixed_requests(12, 40 * MS);
+    let mut steps = mixed_requests(12, 40 * MILLISECOND);
     steps.extend([
-        step(&[0, 100 * MS, 200 * MS], ScenarioEvent::DrainHost(0)),
-        step(&[50 * MS, 150 * MS], ScenarioEvent::KillHost(1)),
         step(
-            &[120 * MS],
+            &[0, 100 * MILLISECOND, 200 * MILLISECOND],
+            ScenarioEvent::DrainHost(HostIndex(0)),
+        ),
+        step(
+            &[50 * MILLISECOND, 150 * MILLISECOND],
+            ScenarioEvent::KillHost(HostIndex(1)),
+        ),
+        step(
+            &[120 * MILLISECOND],
             ScenarioEvent::SetCounterMode(CounterMode::Silent),
         ),
-        step(&[300 * MS], ScenarioEvent::ClearCounter),
+        step(&[300 * MILLISECOND], ScenarioEvent::ClearCounter),
         step(
-            &[300 * MS],
+            &[300 * MILLISECOND],
             ScenarioEvent::SetCounterMode(CounterMode::Normal),
         ),
     ]);
     let mut scenario = scenario(5, steps);
-    scenario.discovery_delays = vec![0, 300 * MS, 3 * S];
+    scenario.discovery_delays = vec![0, 300 * MILLISECOND, 3 * SECOND];
     scenario.attempt_outcomes = vec![
         AttemptOutcome::Normal,
         AttemptOutcome::Error,
--- a/src/cli/demo/table.rs
+++ b/src/cli/demo/table.rs
@@ -1,5 +1,6 @@
 //! The table of what happened in the demo.
 
+use quartzcleat_decision::api::{ClassIndex, LimiterIndex};
 use quartzcleat_invariants::{Answer, Fact, Processes, Record};
 use std::collections::BTreeMap;
 
@@ -11,8 +12,8 @@
 /// A row of the table is for the requests of a class at a limiter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct RowKey {
-    limiter: usize,
-    class: usize,
+    limiter: LimiterIndex,
+    class: ClassIndex,
 }
 
 #[derive(Debug, Default)]
@@ -64,7 +65,7 @@
         text.push_str(&format!(
             "{:24} {:10} {:>6} {:>8} {:>6} {:>8} {:>7} {:>10.1} {:>10.1}\n",
             processes.limiter(key.limiter),
-            processes.classes[key.class],
+            processes.class(key.class),
             row.received,
             row.attempts,
             row.served,
--- a/tests/export/main.rs
+++ b/tests/export/main.rs
@@ -2,9 +2,9 @@
 //! requests. What the sink and the spools hold in the end is compared with what the hosts executed.
 
 use quartzcleat_config::lease::CRASH_POINTS;
-use quartzcleat_decision::api::RequestId;
+use quartzcleat_decision::api::{LimiterIndex, RequestId};
 use quartzcleat_fakes::run_with;
-use quartzcleat_invariants::{Fact, Record};
+use quartzcleat_invariants::{Fact, PartnerIndex, Record};
 use scenario::{scenario, LIMITERS};
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -17,8 +17,8 @@
 const PROGRAM: &str = env!("CARGO_BIN_EXE_quartzcleat");
 
 /// Milliunits that the hosts executed, by partner.
-fn executed_milliunits(records: &[Record]) -> BTreeMap<usize, u64> {
-    let mut requests: BTreeMap<RequestId, (usize, u64)> = BTreeMap::new();
+fn executed_milliunits(records: &[Record]) -> BTreeMap<PartnerIndex, u64> {
+    let mut requests: BTreeMap<RequestId, (PartnerIndex, u64)> = BTreeMap::new();
     let mut executed = BTreeMap::new();
     for record in records {
         match &record.fact {
@@ -88,7 +88,7 @@
     }
 }
 
-fn reported_by_partner(report: &Value) -> BTreeMap<usize, Reported> {
+fn reported_by_partner(report: &Value) -> BTreeMap<PartnerIndex, Reported> {
     let milliunits = |value: &Value| (value.as_f64().expect("a number") * 1_000.0).round() as u64;
     let customers = report["customers"].as_array().expect("a list");
     customers
@@ -100,7 +100,7 @@
                 executed_milliunits: milliunits(&row["units"]),
                 uncertain_milliunits: milliunits(&row["unknown"]),
             };
-            (customer - 1, reported)
+            (PartnerIndex(customer - 1), reported)
         })
         .collect()
 }
@@ -109,14 +109,14 @@
 fn lease_section(
     folder: &Path,
     addresses: &[SocketAddr; LIMITERS],
-    number: usize,
+    limiter: LimiterIndex,
     crash_at: Option<&str>,
 ) -> String {
     let key = folder.join("key");
-    let spool = folder.join(format!("spool-{number}"));
+    let spool = folder.join(format!("spool-{limiter}"));
     let sink = folder.join("sink");
     let mut text = format!(
-        "lease:\n  me: l{number}\n  key: {}\n  length: 300ms\n  limiters:\n",
+        "lease:\n  me: l{limiter}\n  key: {}\n  length: 300ms\n  limiters:\n",
         key.display()
     );
     for (other, address) in addresses.iter().enumerate() {
@@ -124,7 +124,7 @@
     }
     text += "  voters: [l0, l1, l2]\n";
     if let Some(point) = crash_at {
-        text += &format!("  die: {{at: {point}, after: {}}}\n", 4 + 3 * number);
+        text += &format!("  die: {{at: {point}, after: {}}}\n", 4 + 3 * limiter.0);
     }
     text + &format!(
         "  tasks:\n    - name: use\n      export: {{spool: {}, sink: {}}}\n      every: 40ms\n      longest: 60ms\n",
@@ -161,12 +161,12 @@
     std::fs::write(folder.join("key"), point).expect("the key is written");
     let addresses = [0, 1, 2].map(|number| unused_address(run, number));
     let configuration_folder = folder.clone();
-    let own_config = move |number: usize, starts: usize| {
+    let own_config = move |limiter: LimiterIndex, starts: usize| {
         let crash_at = (starts == 0).then_some(point);
         Some(lease_section(
             &configuration_folder,
             &addresses,
-            number,
+            limiter,
             crash_at,
         ))
     };
@@ -180,7 +180,7 @@
     let _ = std::fs::remove_dir_all(&folder);
 }
 
-fn check_reports(point: &str, folder: &Path, executed: &BTreeMap<usize, u64>) {
+fn check_reports(point: &str, folder: &Path, executed: &BTreeMap<PartnerIndex, u64>) {
     let sink_report = usage_report(folder, Spools::Excluded);
     let full_report = usage_report(folder, Spools::Included);
     assert_eq!(
@@ -197,7 +197,7 @@
         let reported = reported[partner];
         assert!(
             reported.admits(*executed),
-            "{point}, partner {partner}: {reported:?} for {executed}"
+            "{point}, partner {partner:?}: {reported:?} for {executed}"
         );
         certain += reported.executed_milliunits;
         uncertain += reported.uncertain_milliunits;
--- a/tests/export/scenario.rs
+++ b/tests/export/scenario.rs
@@ -1,8 +1,9 @@
 //! The scenario: limiters are killed and started again while requests arrive.
 
 use quartzcleat_config::Deployment;
-use quartzcleat_decision::api::Settings;
+use quartzcleat_decision::api::{ClassIndex, LimiterIndex, Settings};
 use quartzcleat_fakes::load::{load_scenario, request_step, LoadTopology, PLAN};
+use quartzcleat_invariants::PartnerIndex;
 use quartzcleat_simulation::scenario::{ClientRequest, LimiterSet, Scenario, ScenarioEvent, Step};
 
 const NANOS_PER_MS: u64 = 1_000_000;
@@ -43,13 +44,16 @@
 fn request(number: u64) -> ClientRequest {
     ClientRequest {
         operation: number + 1,
-        class: (number % 2) as usize,
-        partner: number as usize % CUSTOMERS,
+        class: ClassIndex((number % 2) as u32),
+        partner: PartnerIndex(number as usize % CUSTOMERS),
         plan: PLAN,
         units: [1.0, 2.0, 0.5][number as usize % 3],
         true_units: 0.0,
-        limiter: number as usize % LIMITERS,
-        limiter_set: LimiterSet { count: 3, first: 0 },
+        limiter: LimiterIndex::from_usize(number as usize % LIMITERS),
+        limiter_set: LimiterSet {
+            count: 3,
+            first: LimiterIndex(0),
+        },
         timeout: CLIENT_TIMEOUT_MS * NANOS_PER_MS,
         retry: false,
     }
@@ -69,6 +73,7 @@
         .map(|number| request_at(number * REQUEST_INTERVAL_MS, number))
         .collect();
     for (limiter, at_ms) in RESTARTS_MS.into_iter().enumerate() {
+        let limiter = LimiterIndex::from_usize(limiter);
         steps.push(restart_step(at_ms, ScenarioEvent::KillLimiter(limiter)));
         steps.push(restart_step(at_ms, ScenarioEvent::StartLimiter(limiter)));
     }
