--- a/crates/bench/src/trial/plot.rs
+++ b/crates/bench/src/trial/plot.rs
@@ -3,6 +3,7 @@
 
 use plotters::coord::types::RangedCoordf64;
 use plotters::prelude::*;
+use quartzcleat_decision::api::LimiterIndex;
 use quartzcleat_fault_injection::scenario::FaultKind;
 use quartzcleat_fault_injection::target::Action;
 use quartzcleat_fault_injection::verdict::MarkEvent;
@@ -32,7 +33,7 @@
 
 /// The time during which a fault lasted at a limiter, in seconds.
 struct FaultSpan {
-    limiter: usize,
+    limiter: LimiterIndex,
     /// What began the span: a fault, or a start that failed.
     event: MarkEvent,
     from: f64,
@@ -81,23 +82,23 @@
 }
 
 /// The limiters that have a row: those that acted or were struck, in their order.
-struct Rows(Vec<usize>);
+struct Rows(Vec<LimiterIndex>);
 
 impl Rows {
     fn of(report: &RunReport, spans: &[FaultSpan]) -> Self {
         let acted = report
             .seen
             .iter()
-            .map(|action| action.token.proposer as usize);
+            .map(|action| LimiterIndex(action.token.proposer));
         let struck = spans.iter().map(|span| span.limiter);
-        let mut limiters: Vec<usize> = acted.chain(struck).collect();
+        let mut limiters: Vec<LimiterIndex> = acted.chain(struck).collect();
         limiters.sort_unstable();
         limiters.dedup();
         limiters.truncate(MAX_ROWS);
         Rows(limiters)
     }
 
-    fn position(&self, limiter: usize) -> Option<f64> {
+    fn position(&self, limiter: LimiterIndex) -> Option<f64> {
         let row = self.0.binary_search(&limiter).ok()?;
         Some(row as f64)
     }
@@ -184,7 +185,7 @@
     rows: &Rows,
     action: &Action,
 ) -> Result<(), Box<dyn Error + Send + Sync>> {
-    let Some(row) = rows.position(action.token.proposer as usize) else {
+    let Some(row) = rows.position(LimiterIndex(action.token.proposer)) else {
         return Ok(());
     };
     let from = action.from.as_secs_f64();
--- a/crates/fault-injection/src/limiter_config.rs
+++ b/crates/fault-injection/src/limiter_config.rs
@@ -2,6 +2,7 @@
 
 use crate::network::Network;
 use crate::scenario::{ClockFaults, Scenario};
+use quartzcleat_decision::api::LimiterIndex;
 use std::fmt::Write as _;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -10,7 +11,7 @@
 pub(crate) fn product_config(
     scenario: &Scenario,
     key_file: &Path,
-    limiter: usize,
+    limiter: LimiterIndex,
     network: &Network,
     target: SocketAddr,
 ) -> std::io::Result<String> {
@@ -21,11 +22,11 @@
         scenario.lease_length.as_millis(),
         scenario.configured_drift,
     );
-    for peer in 0..scenario.limiters {
+    for peer in scenario.limiter_indices() {
         let address = network.peer_address(limiter, peer)?;
         text += &format!("    {}: {address}\n", limiter_name(peer));
     }
-    let voters: Vec<String> = (0..scenario.voters).map(limiter_name).collect();
+    let voters: Vec<String> = scenario.voter_indices().map(limiter_name).collect();
     text += &format!("  voters: [{}]\n", voters.join(", "));
     text += &format!(
         "  tasks:\n    - name: beat\n      target: {target}\n      every: {}ms\n      longest: {}ms\n",
@@ -35,7 +36,7 @@
     Ok(text)
 }
 
-fn limiter_name(limiter: usize) -> String {
+fn limiter_name(limiter: LimiterIndex) -> String {
     format!("l{limiter:03}")
 }
 
--- a/crates/fault-injection/src/row.rs
+++ b/crates/fault-injection/src/row.rs
@@ -134,7 +134,7 @@
                 "  {:?} {} of limiter {:?}\n",
                 mark.at,
                 mark.event,
-                Some(mark.limiter)
+                Some(mark.limiter.0)
             )
         })
         .collect()
--- a/crates/fault-injection/src/row/tests.rs
+++ b/crates/fault-injection/src/row/tests.rs
@@ -3,6 +3,7 @@
 use super::*;
 use crate::scenario::FaultKind;
 use crate::verdict::{Mark, MarkEvent};
+use quartzcleat_decision::api::LimiterIndex;
 use quartzcleat_lease::FencingToken;
 
 fn action(from_ms: u64, round: u64, proposer: u32) -> Action {
@@ -33,7 +34,7 @@
 fn row_names_the_violation_and_is_read_as_it_was_written() {
     let marks = vec![Mark {
         at: Duration::from_millis(8),
-        limiter: 0,
+        limiter: LimiterIndex(0),
         event: MarkEvent::Began(FaultKind::Pause),
     }];
     let actions = [action(0, 1, 0), action(20, 2, 1), action(40, 1, 0)];
--- a/crates/fault-injection/src/scenario/mod.rs
+++ b/crates/fault-injection/src/scenario/mod.rs
@@ -7,6 +7,7 @@
 mod tests;
 mod write;
 
+use quartzcleat_decision::api::LimiterIndex;
 use std::time::Duration;
 
 /// The limiters that a fault strikes.
@@ -151,3 +152,20 @@
     /// The changes of lease holder without which a run is empty.
     pub changes: usize,
 }
+
+impl Scenario {
+    /// All limiters.
+    pub(crate) fn limiter_indices(&self) -> impl Iterator<Item = LimiterIndex> + use<> {
+        (0..self.limiters).map(LimiterIndex::from_usize)
+    }
+
+    /// The limiters that vote: the first ones.
+    pub(crate) fn voter_indices(&self) -> impl Iterator<Item = LimiterIndex> + use<> {
+        (0..self.voters).map(LimiterIndex::from_usize)
+    }
+
+    /// Whether a limiter votes.
+    pub(crate) fn is_voter(&self, limiter: LimiterIndex) -> bool {
+        limiter.as_usize() < self.voters
+    }
+}
--- a/crates/fault-injection/src/target.rs
+++ b/crates/fault-injection/src/target.rs
@@ -1,5 +1,6 @@
 //! The target of the limiters' actions: checks fencing tokens as any target should, and writes the history with one clock.
 
+use quartzcleat_decision::api::LimiterIndex;
 use quartzcleat_lease::{BeginError, ExclusiveFence, FencingToken};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -63,10 +64,10 @@
     }
 
     /// The limiter whose action was accepted last.
-    pub fn lease_holder(&self) -> Option<usize> {
+    pub fn lease_holder(&self) -> Option<LimiterIndex> {
         let actions = self.actions.borrow();
         let last = actions.iter().rev().find(|action| action.accepted)?;
-        Some(last.token.proposer as usize)
+        Some(LimiterIndex(last.token.proposer))
     }
 
     /// Accepts connections, with one action each.
--- a/crates/fault-injection/src/trial.rs
+++ b/crates/fault-injection/src/trial.rs
@@ -8,6 +8,7 @@
 use crate::target::Target;
 use crate::testbed::{RunReport, Testbed};
 use crate::verdict::{Mark, MarkEvent};
+use quartzcleat_decision::api::LimiterIndex;
 use quartzcleat_fakes::process::{ProcessFiles, Signal};
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -61,7 +62,7 @@
             target,
             marks: RefCell::default(),
         };
-        for limiter in 0..scenario.limiters {
+        for limiter in scenario.limiter_indices() {
             let link = StreamLink::open(target_address).await?;
             let mut started = trial.prepare_limiter(limiter, link.address(), testbed)?;
             started.start(&trial.random_clock_line())?;
@@ -73,7 +74,7 @@
 
     fn prepare_limiter(
         &self,
-        limiter: usize,
+        limiter: LimiterIndex,
         target: SocketAddr,
         testbed: &Testbed,
     ) -> std::io::Result<Limiter> {
@@ -81,7 +82,7 @@
         let product_config =
             product_config(&self.scenario, &key_file, limiter, &self.network, target)?;
         let files = ProcessFiles::in_folder(&testbed.folder, &limiter.to_string());
-        let port = self.network.addresses[limiter].port();
+        let port = self.network.address(limiter).port();
         let listen = SocketAddr::from((limiter_ip(self.seed, limiter), port));
         let mut platform_config: serde_json::Value = serde_json::from_str(&testbed.platform)?;
         platform_config["listen"] = listen.to_string().into();
@@ -108,14 +109,14 @@
         self.finish(start).await
     }
 
-    fn struck_limiters(&self, target: FaultTarget, rng: &mut fastrand::Rng) -> Vec<usize> {
-        let limiters = self.scenario.limiters;
+    fn struck_limiters(&self, target: FaultTarget, rng: &mut fastrand::Rng) -> Vec<LimiterIndex> {
+        let mut random = || LimiterIndex::from_usize(rng.usize(..self.scenario.limiters));
         match target {
-            FaultTarget::All => (0..limiters).collect(),
-            FaultTarget::Random => vec![rng.usize(..limiters)],
+            FaultTarget::All => self.scenario.limiter_indices().collect(),
+            FaultTarget::Random => vec![random()],
             FaultTarget::LeaseHolder => {
                 let holder = self.target.lease_holder();
-                vec![holder.unwrap_or_else(|| rng.usize(..limiters))]
+                vec![holder.unwrap_or_else(random)]
             }
         }
     }
@@ -138,17 +139,17 @@
     }
 
     /// Injects a fault at a limiter and waits until it is over.
-    async fn inject(self: Rc<Self>, limiter: usize, fault: Fault) {
+    async fn inject(self: Rc<Self>, limiter: LimiterIndex, fault: Fault) {
         self.mark(limiter, MarkEvent::Began(fault.kind));
         match fault.kind {
             FaultKind::Pause => return self.pause(limiter, fault.duration).await,
             FaultKind::Kill | FaultKind::Terminate => return self.restart(limiter, fault).await,
             FaultKind::DelayActions => {
-                let _closed = self.target_links[limiter].to_target.close();
+                let _closed = self.target_links[limiter.as_usize()].to_target.close();
                 sleep(fault.duration).await;
             }
             FaultKind::DelayAnswers => {
-                let _closed = self.target_links[limiter].from_target.close();
+                let _closed = self.target_links[limiter.as_usize()].from_target.close();
                 sleep(fault.duration).await;
             }
             FaultKind::ResetConnections => self.reset_connections(limiter, fault.duration).await,
@@ -164,7 +165,7 @@
         self.mark(limiter, MarkEvent::Over(fault.kind));
     }
 
-    async fn pause(&self, limiter: usize, duration: Duration) {
+    async fn pause(&self, limiter: LimiterIndex, duration: Duration) {
         self.signal(limiter, Signal::SIGSTOP);
         sleep(duration).await;
         // Marked before the process continues, so that none of its later actions counts as done during the pause.
@@ -172,11 +173,11 @@
         self.signal(limiter, Signal::SIGCONT);
     }
 
-    async fn restart(&self, limiter: usize, fault: Fault) {
+    async fn restart(&self, limiter: LimiterIndex, fault: Fault) {
         let stopped = self
             .limiters
             .borrow_mut()
-            .get_mut(limiter)
+            .get_mut(limiter.as_usize())
             .and_then(Option::take);
         // Another fault has stopped it already, and starts it again.
         let Some(mut stopped) = stopped else { return };
@@ -192,35 +193,35 @@
         };
         self.mark(limiter, event);
         // After the end of the run there is no place left; the process is killed as it is dropped.
-        if let Some(place) = self.limiters.borrow_mut().get_mut(limiter) {
+        if let Some(place) = self.limiters.borrow_mut().get_mut(limiter.as_usize()) {
             *place = Some(stopped);
         }
     }
 
-    async fn reset_connections(&self, limiter: usize, duration: Duration) {
+    async fn reset_connections(&self, limiter: LimiterIndex, duration: Duration) {
         let end = Instant::now() + duration;
         while Instant::now() < end {
-            self.target_links[limiter].reset_connections();
+            self.target_links[limiter.as_usize()].reset_connections();
             sleep(RESET_INTERVAL).await;
         }
     }
 
-    fn signal(&self, limiter: usize, signal: Signal) {
-        if let Some(Some(signalled)) = self.limiters.borrow().get(limiter) {
+    fn signal(&self, limiter: LimiterIndex, signal: Signal) {
+        if let Some(Some(signalled)) = self.limiters.borrow().get(limiter.as_usize()) {
             signalled.process.signal(signal);
         }
     }
 
-    fn mark(&self, limiter: usize, event: MarkEvent) {
+    fn mark(&self, limiter: LimiterIndex, event: MarkEvent) {
         let at = self.target.now();
         self.marks.borrow_mut().push(Mark { at, limiter, event });
     }
 }
 
 /// The build that a limiter runs.
-fn program_of(testbed: &Testbed, limiter: usize) -> &Path {
+fn program_of(testbed: &Testbed, limiter: LimiterIndex) -> &Path {
     match &testbed.beside {
-        Some(beside) if limiter % 2 == 1 => beside,
+        Some(beside) if limiter.0 % 2 == 1 => beside,
         _ => &testbed.program,
     }
 }
--- a/crates/fault-injection/src/verdict.rs
+++ b/crates/fault-injection/src/verdict.rs
@@ -2,6 +2,7 @@
 
 use crate::scenario::FaultKind;
 use crate::target::Action;
+use quartzcleat_decision::api::LimiterIndex;
 use std::fmt;
 use std::time::Duration;
 
@@ -39,7 +40,7 @@
     /// Time since the target's start.
     pub at: Duration,
     /// The limiter.
-    pub limiter: usize,
+    pub limiter: LimiterIndex,
     /// What happened.
     pub event: MarkEvent,
 }
@@ -113,7 +114,7 @@
         }
         self.changes += 1;
         self.gaps.push(action.from.saturating_sub(before.to));
-        let paused = is_paused(marks, before.token.proposer as usize, action.from);
+        let paused = is_paused(marks, LimiterIndex(before.token.proposer), action.from);
         self.while_paused += usize::from(paused);
     }
 }
@@ -144,7 +145,7 @@
 }
 
 /// Whether a limiter was paused at a time.
-fn is_paused(marks: &[Mark], limiter: usize, at: Duration) -> bool {
+fn is_paused(marks: &[Mark], limiter: LimiterIndex, at: Duration) -> bool {
     let paused = |mark: &Mark| match mark.event {
         MarkEvent::Began(FaultKind::Pause) => Some(true),
         MarkEvent::Over(FaultKind::Pause) => Some(false),
--- a/crates/fault-injection/src/verdict/tests.rs
+++ b/crates/fault-injection/src/verdict/tests.rs
@@ -2,68 +2,101 @@
 
 use super::*;
 use quartzcleat_lease::FencingToken;
+use std::ops::Range;
 
-fn action(from_ms: u64, to_ms: u64, round: u64, proposer: u32, accepted: bool) -> Action {
+/// The token of the first holder.
+const FIRST: FencingToken = FencingToken {
+    round: 1,
+    proposer: 0,
+    incarnation: 1,
+};
+/// The token of the second holder, a later one.
+const SECOND: FencingToken = FencingToken {
+    round: 2,
+    proposer: 1,
+    incarnation: 1,
+};
+
+/// An action that lasted for a range of milliseconds and was accepted.
+fn accepted(span_ms: Range<u64>, token: FencingToken) -> Action {
+    Action {
+        from: Duration::from_millis(span_ms.start),
+        to: Duration::from_millis(span_ms.end),
+        token,
+        accepted: true,
+    }
+}
+
+/// An action that was refused.
+fn refused(span_ms: Range<u64>, token: FencingToken) -> Action {
     Action {
-        from: Duration::from_millis(from_ms),
-        to: Duration::from_millis(to_ms),
-        token: FencingToken {
-            round,
-            proposer,
-            incarnation: 1,
-        },
-        accepted,
+        accepted: false,
+        ..accepted(span_ms, token)
     }
 }
 
 #[test]
-fn stale_token_and_overlap_are_violations_and_a_refused_action_is_not() {
-    let valid = [
-        action(0, 5, 1, 0, true),
-        action(20, 25, 2, 1, true),
-        action(26, 27, 1, 0, false),
+fn refused_action_with_a_stale_token_is_neither_a_violation_nor_a_change() {
+    let history = [
+        accepted(0..5, FIRST),
+        accepted(20..25, SECOND),
+        refused(26..27, FIRST),
     ];
-    let verdict = judge(&valid, &[]);
+    let verdict = judge(&history, &[]);
     assert!(verdict.holds());
-    assert_eq!(
-        (verdict.changes, verdict.refused, verdict.gaps.len()),
-        (1, 1, 1)
-    );
-    let stale = [
-        action(0, 5, 1, 0, true),
-        action(20, 25, 2, 1, true),
-        action(26, 27, 1, 0, true),
+    assert_eq!(verdict.refused, 1);
+    assert_eq!(verdict.changes, 1);
+    assert_eq!(verdict.gaps.len(), 1);
+}
+
+#[test]
+fn other_holder_after_a_pause_is_one_change_with_one_gap() {
+    let history = [accepted(0..5, FIRST), accepted(20..25, SECOND)];
+    let verdict = judge(&history, &[]);
+    assert_eq!(verdict.changes, 1);
+    assert_eq!(verdict.gaps, [Duration::from_millis(15)]);
+}
+
+#[test]
+fn accepted_action_with_a_stale_token_is_a_violation_and_no_overlap() {
+    let history = [
+        accepted(0..5, FIRST),
+        accepted(20..25, SECOND),
+        accepted(26..27, FIRST),
     ];
-    assert_eq!(
-        (judge(&stale, &[]).stale_tokens, judge(&stale, &[]).overlaps),
-        (1, 0)
-    );
-    let overlapping = [action(0, 5, 1, 0, true), action(4, 9, 2, 1, true)];
-    assert_eq!(
-        (
-            judge(&overlapping, &[]).stale_tokens,
-            judge(&overlapping, &[]).overlaps
-        ),
-        (0, 1)
-    );
+    let verdict = judge(&history, &[]);
+    assert_eq!(verdict.stale_tokens, 1);
+    assert_eq!(verdict.overlaps, 0);
 }
 
 #[test]
-fn change_counts_as_during_a_pause_only_while_the_pause_lasts() {
+fn overlapping_actions_of_two_tokens_are_a_violation_though_neither_is_stale() {
+    let history = [accepted(0..5, FIRST), accepted(4..9, SECOND)];
+    let verdict = judge(&history, &[]);
+    assert_eq!(verdict.stale_tokens, 0);
+    assert_eq!(verdict.overlaps, 1);
+}
+
+/// The verdict on a change of holder 50 ms after the start, where the first holder is paused for a range of milliseconds.
+fn verdict_with_first_holder_paused(span_ms: Range<u64>) -> Verdict {
     let mark = |at_ms, event| Mark {
         at: Duration::from_millis(at_ms),
-        limiter: 0,
+        limiter: LimiterIndex(FIRST.proposer),
         event,
     };
-    let began = MarkEvent::Began(FaultKind::Pause);
-    let over = MarkEvent::Over(FaultKind::Pause);
-    let actions = [action(0, 5, 1, 0, true), action(50, 55, 2, 1, true)];
-    assert_eq!(
-        judge(&actions, &[mark(10, began), mark(90, over)]).while_paused,
-        1
-    );
-    assert_eq!(
-        judge(&actions, &[mark(10, began), mark(40, over)]).while_paused,
-        0
-    );
+    let marks = [
+        mark(span_ms.start, MarkEvent::Began(FaultKind::Pause)),
+        mark(span_ms.end, MarkEvent::Over(FaultKind::Pause)),
+    ];
+    judge(&[accepted(0..5, FIRST), accepted(50..55, SECOND)], &marks)
+}
+
+#[test]
+fn change_while_the_holder_is_paused_counts_as_such() {
+    assert_eq!(verdict_with_first_holder_paused(10..90).while_paused, 1);
+}
+
+#[test]
+fn change_after_the_pause_of_the_holder_does_not_count_as_during_it() {
+    assert_eq!(verdict_with_first_holder_paused(10..40).while_paused, 0);
 }
