--- a/crates/simulation/src/simulation.rs
+++ b/crates/simulation/src/simulation.rs
@@ -15,6 +15,7 @@
 
 use crate::counter::Counter;
 use crate::event_queue::{Event, EventQueue, LimiterIncarnation};
+use crate::executed_keys::ExecutedKeys;
 use crate::fingerprint::{HistoryHash, RunState};
 use crate::host::Host;
 use crate::limiter::Limiter;
@@ -23,9 +24,8 @@
 use crate::scenario::{option_of_variant, Scenario};
 use clients::Clients;
 use discovery::Discovery;
-use quartzcleat_decision::api::Nanos;
+use quartzcleat_decision::api::{LimiterIndex, Nanos};
 use quartzcleat_invariants::{Fact, Record};
-use std::collections::BTreeMap;
 
 /// The result of a run.
 #[derive(Clone, Debug)]
@@ -56,16 +56,6 @@
 #[derive(Debug)]
 struct Stopped;
 
-/// An idempotency key at the hosts that recognise each other's keys.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct GroupKey {
-    group: u32,
-    operation: u64,
-}
-
-/// When each key was executed first within its window.
-pub(crate) type ExecutedKeys = BTreeMap<GroupKey, Nanos>;
-
 struct Simulation<'a> {
     scenario: &'a Scenario,
     oracle: &'a mut dyn Oracle,
@@ -242,16 +232,16 @@
     }
 
     /// The present incarnation of a limiter.
-    fn incarnation(&self, limiter: usize) -> LimiterIncarnation {
+    fn incarnation(&self, limiter: LimiterIndex) -> LimiterIncarnation {
         LimiterIncarnation {
             limiter,
-            incarnation: self.limiters[limiter].incarnation,
+            incarnation: self.limiters[limiter.as_usize()].incarnation,
         }
     }
 
     /// Whether this incarnation of a limiter still runs.
     fn is_current(&self, limiter: LimiterIncarnation) -> bool {
-        let present = &self.limiters[limiter.limiter];
+        let present = &self.limiters[limiter.limiter.as_usize()];
         present.is_up && present.incarnation == limiter.incarnation
     }
 }
