--- a/crates/config/src/deployment/consistency.rs
+++ b/crates/config/src/deployment/consistency.rs
@@ -11,18 +11,18 @@
 enum Contradiction {
     #[error("missing; requests name their class")]
     ClassWithoutName,
-    #[error("{} is not after the aim, {}", show_time(*deadline), show_time(*latency_objective))]
+    #[error("{} is not after the latency objective, {}", show_time(*deadline), show_time(*latency_objective))]
     DeadlineBeforeObjective {
         deadline: u64,
         latency_objective: u64,
     },
-    #[error("missing; a keyed class needs the time in which repeats drop")]
+    #[error("missing; a class with idempotency keys needs a deduplication window")]
     KeyedClassWithoutDedupWindow,
     #[error("missing; requests name their plan")]
     PlanWithoutName,
-    #[error("a quota is not below 0")]
+    #[error("a quota is not negative")]
     NegativeQuota,
-    #[error("{burst} is less than one request may count, {largest_request}")]
+    #[error("{burst} is less than the largest request, {largest_request}")]
     BurstBelowLargestRequest { burst: f64, largest_request: f64 },
     #[error("{largest_request} is more than the burst of {plan}, {burst}")]
     LargestRequestAboveBurst {
@@ -32,11 +32,11 @@
     },
     #[error("0; at least one attempt is needed")]
     NoAttempts,
-    #[error("missing, where there is a counter")]
+    #[error("missing; the counter needs it")]
     CounterWithoutTimeout,
-    #[error("missing, where clients are told when to come back")]
+    #[error("missing; rejections with a retry_after need it")]
     NoLongestRetryAfter,
-    #[error("{value} is not a part from 0 to 1")]
+    #[error("{value} is not a share from 0 to 1")]
     SlowStartFloorOutOfRange { value: f64 },
     #[error("{limiter} is not below the number of limiters, {limiter_count}")]
     LimiterIndexTooHigh { limiter: u32, limiter_count: u32 },
--- a/crates/config/src/deployment/names.rs
+++ b/crates/config/src/deployment/names.rs
@@ -1,9 +1,10 @@
-//! The names by which formulas refer to settings: `plans.guide.burst`, `classes.bed-hold.aim`, `limits.attempts`,
-//! `safety.drain`.
+//! The names by which formulas refer to settings: `plans.guide.burst`, `classes.bed-hold.latency_objective`,
+//! `limits.max_attempts`, `safety.drain_grace`.
 
 use super::Deployment;
 use crate::fault::nearest;
 use crate::formula::{SettingValue, UnknownSetting};
+use crate::reader::{present_name, Alias};
 use quartzcleat_decision::api::{Class, Plan, Settings};
 
 /// The value of a setting.
@@ -33,76 +34,105 @@
 const PLAN_FIELDS: &[Field<Plan>] = &[
     field("rate", "refill", |plan| Value::Number(plan.rate)),
     field("burst", "peakUnits", |plan| Value::Number(plan.burst)),
-    field("open", "concurrency", |plan| {
+    field("max_concurrent_attempts", "concurrency", |plan| {
         Value::Number(plan.open.into())
     }),
-    field("worth", "worthFactor", |plan| {
+    field("weight", "worthFactor", |plan| {
         Value::Number(plan.weight_factor)
     }),
-    field("overrun", "overrunCost", |plan| {
+    field("over_quota_cost", "overrunCost", |plan| {
         Value::Number(plan.over_quota_cost)
     }),
-    field("extra", "extraWorth", |plan| {
+    field("over_quota_weight", "extraWorth", |plan| {
         Value::Number(plan.over_quota_weight)
     }),
 ];
+/// The former names of these fields.
+const PLAN_ALIASES: &[Alias] = &[
+    Alias::new("open", "max_concurrent_attempts"),
+    Alias::new("worth", "weight"),
+    Alias::new("overrun", "over_quota_cost"),
+    Alias::new("extra", "over_quota_weight"),
+];
 
 const CLASS_FIELDS: &[Field<Class>] = &[
-    field("aim", "onTimeNs", |class| {
+    field("latency_objective", "onTimeNs", |class| {
         Value::Time(class.latency_objective)
     }),
     field("deadline", "hardLimitNs", |class| {
         Value::Time(class.deadline)
     }),
-    field("window", "dedupWindowNs", |class| {
+    field("dedup_window", "dedupWindowNs", |class| {
         Value::Time(class.dedup_window)
     }),
-    field("worth", "importance", |class| {
+    field("weight", "importance", |class| {
         Value::Number(class.priority_weight)
     }),
-    field("late", "lateWorth", |class| {
+    field("late_weight", "lateWorth", |class| {
         Value::Number(class.late_weight)
     }),
 ];
+/// The former names of these fields.
+const CLASS_ALIASES: &[Alias] = &[
+    Alias::new("aim", "latency_objective"),
+    Alias::new("window", "dedup_window"),
+    Alias::new("worth", "weight"),
+    Alias::new("late", "late_weight"),
+];
 
 const LIMIT_FIELDS: &[Field<Settings>] = &[
-    field("attempts", "limits.sendCap", |settings| {
+    field("max_attempts", "limits.sendCap", |settings| {
         Value::Number(settings.max_attempts.into())
     }),
-    field("open", "limits.openCap", |settings| {
+    field("max_open_requests", "limits.openCap", |settings| {
         Value::Number(settings.max_open.into())
     }),
-    field("come-back", "limits.maxRetryAfterNs", |settings| {
+    field("max_retry_after", "limits.maxRetryAfterNs", |settings| {
         Value::Time(settings.longest_retry_after)
     }),
-    field("connect", "limits.connectTimeoutNs", |settings| {
+    field("connect_timeout", "limits.connectTimeoutNs", |settings| {
         Value::Time(settings.connect_timeout)
     }),
 ];
+/// The former names of these fields.
+const LIMIT_ALIASES: &[Alias] = &[
+    Alias::new("attempts", "max_attempts"),
+    Alias::new("open", "max_open_requests"),
+    Alias::new("come-back", "max_retry_after"),
+    Alias::new("connect", "connect_timeout"),
+];
 
 const SAFETY_FIELDS: &[Field<Settings>] = &[
-    field("drain", "safety.drainGraceNs", |settings| {
+    field("drain_grace", "safety.drainGraceNs", |settings| {
         Value::Time(settings.drain_grace)
     }),
-    field("warm", "safety.warmAfterNs", |settings| {
+    field("slow_start_duration", "safety.warmAfterNs", |settings| {
         Value::Time(settings.slow_start_duration)
     }),
-    field("tip", "safety.tipAfterNs", |settings| {
+    field("overload_duration", "safety.tipAfterNs", |settings| {
         Value::Time(settings.overload_duration)
     }),
-    field("cold", "safety.coldFrom", |settings| {
+    field("slow_start_floor", "safety.coldFrom", |settings| {
         Value::Number(settings.slow_start_floor)
     }),
-    field("overload", "safety.overloadFactor", |settings| {
+    field("overload_factor", "safety.overloadFactor", |settings| {
         Value::Number(settings.overload_factor)
     }),
 ];
+/// The former names of these fields.
+const SAFETY_ALIASES: &[Alias] = &[
+    Alias::new("drain", "drain_grace"),
+    Alias::new("warm", "slow_start_duration"),
+    Alias::new("tip", "overload_duration"),
+    Alias::new("cold", "slow_start_floor"),
+    Alias::new("overload", "overload_factor"),
+];
 
 const COUNTER_TIMEOUT: Field<Settings> =
     field("timeout", "familyInfo.counterTimeoutNs", |settings| {
         Value::Time(settings.counter_timeout)
     });
-const LARGEST_REQUEST: Field<Settings> = field("top", "familyInfo.unitsTop", |settings| {
+const LARGEST_REQUEST: Field<Settings> = field("max", "familyInfo.unitsTop", |settings| {
     Value::Number(settings.largest_request)
 });
 const LIMITER_COUNT: Field<Settings> = field("limiters", "balancers", |settings| {
@@ -152,10 +182,20 @@
         let resolved = match parts.as_slice() {
             ["plans", plan, field] => plan_value(settings, plan, field),
             ["classes", class, field] => class_value(settings, class, field),
-            ["limits", field] => field_value(LIMIT_FIELDS, field, settings, ""),
-            ["safety", field] => field_value(SAFETY_FIELDS, field, settings, ""),
+            ["limits", field] => field_value(
+                LIMIT_FIELDS,
+                present_name(field, LIMIT_ALIASES),
+                settings,
+                "",
+            ),
+            ["safety", field] => field_value(
+                SAFETY_FIELDS,
+                present_name(field, SAFETY_ALIASES),
+                settings,
+                "",
+            ),
             ["counter", "timeout"] => Ok(COUNTER_TIMEOUT.read(settings, "")),
-            ["units", "top"] => Ok(LARGEST_REQUEST.read(settings, "")),
+            ["units", "max" | "top"] => Ok(LARGEST_REQUEST.read(settings, "")),
             ["limiters"] => Ok(LIMITER_COUNT.read(settings, "")),
             _ => Err(UnknownPart::new(parts[0], &SECTIONS)),
         };
@@ -167,14 +207,24 @@
     let names: Vec<_> = settings.plans.iter().map(|plan| &*plan.name).collect();
     let index = position(&names, plan)?;
     let prefix = format!("contracts.{index}.");
-    field_value(PLAN_FIELDS, field, &settings.plans[index], &prefix)
+    field_value(
+        PLAN_FIELDS,
+        present_name(field, PLAN_ALIASES),
+        &settings.plans[index],
+        &prefix,
+    )
 }
 
 fn class_value(settings: &Settings, class: &str, field: &str) -> Result<SettingValue, UnknownPart> {
     let names: Vec<_> = settings.classes.iter().map(|class| &*class.name).collect();
     let index = position(&names, class)?;
     let prefix = format!("categories.{index}.");
-    field_value(CLASS_FIELDS, field, &settings.classes[index], &prefix)
+    field_value(
+        CLASS_FIELDS,
+        present_name(field, CLASS_ALIASES),
+        &settings.classes[index],
+        &prefix,
+    )
 }
 
 fn position(names: &[&str], name: &str) -> Result<usize, UnknownPart> {
--- a/crates/config/src/deployment/tests.rs
+++ b/crates/config/src/deployment/tests.rs
@@ -105,3 +105,35 @@
         .with(&[Change::remove("limits.sendCap")])
         .is_err());
 }
+
+/// A name of a setting, and its former name.
+const RENAMED: [(&str, &str); 18] = [
+    ("plans.guide.max_concurrent_attempts", "plans.guide.open"),
+    ("plans.guide.weight", "plans.guide.worth"),
+    ("plans.guide.over_quota_cost", "plans.guide.overrun"),
+    ("plans.guide.over_quota_weight", "plans.guide.extra"),
+    ("classes.bed-hold.latency_objective", "classes.bed-hold.aim"),
+    ("classes.bed-hold.dedup_window", "classes.bed-hold.window"),
+    ("classes.bed-hold.weight", "classes.bed-hold.worth"),
+    ("classes.bed-hold.late_weight", "classes.bed-hold.late"),
+    ("limits.max_attempts", "limits.attempts"),
+    ("limits.max_open_requests", "limits.open"),
+    ("limits.max_retry_after", "limits.come-back"),
+    ("limits.connect_timeout", "limits.connect"),
+    ("safety.drain_grace", "safety.drain"),
+    ("safety.slow_start_duration", "safety.warm"),
+    ("safety.overload_duration", "safety.tip"),
+    ("safety.slow_start_floor", "safety.cold"),
+    ("safety.overload_factor", "safety.overload"),
+    ("units.max", "units.top"),
+];
+
+#[test]
+fn former_names_of_settings_are_accepted() {
+    let deployment = Deployment::read("day.yaml", DEPLOYMENT).expect("valid");
+    for (present, former) in RENAMED {
+        let setting = deployment.resolve(present);
+        assert!(setting.is_ok(), "{present}");
+        assert_eq!(deployment.resolve(former), setting, "{former}");
+    }
+}
--- a/crates/config/src/formula.rs
+++ b/crates/config/src/formula.rs
@@ -80,7 +80,7 @@
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum FormulaError {
     /// A flag, a list, a map or null.
-    #[error("not a figure; write a number, a time or a formula")]
+    #[error("not a formula; write a number, a time or a formula")]
     NotFormula,
     /// A number where a duration is expected, or a negative duration.
     #[error("{text} is not a time; write one such as 250ms")]
@@ -107,13 +107,13 @@
     #[error(transparent)]
     UnknownSetting(#[from] UnknownSetting),
     /// A character that no formula contains.
-    #[error("{character:?} has no place in a figure")]
+    #[error("{character:?} is not allowed in a formula")]
     UnexpectedCharacter {
         /// The character.
         character: char,
     },
     /// The arithmetic is invalid.
-    #[error("cannot reckon {expression:?}: {source}")]
+    #[error("cannot evaluate {expression:?}: {source}")]
     Arithmetic {
         /// The expression, with the values in place of the names.
         expression: String,
--- a/crates/config/src/lease/error.rs
+++ b/crates/config/src/lease/error.rs
@@ -11,7 +11,7 @@
     #[error("a lease lasts from 100ms to 10m")]
     DurationOutOfRange,
     /// The drift is taken off the holder's validity, so that a large one leaves little of it.
-    #[error("clocks that may run apart by more than 20% leave no lease; write a share such as 1%")]
+    #[error("a clock drift above 20% leaves no lease; write a share such as 1%")]
     DriftTooLarge,
     /// A name that is no limiter's.
     #[error("{name:?} is not one of lease.limiters")]
@@ -26,19 +26,19 @@
         name: String,
     },
     /// An even number of acceptors.
-    #[error("{count} voters; an odd number has a majority on one side of any split")]
+    #[error("{count} acceptors; an odd number has a majority on one side of any split")]
     EvenAcceptorCount {
         /// How many there are.
         count: usize,
     },
     /// An operation that may not fit into the lease.
-    #[error("an act of {task:?} may take more than half of the lease")]
+    #[error("an operation of {task:?} may take more than half of the lease")]
     OperationTooLong {
         /// The task's name.
         task: String,
     },
     /// A text that is not an address.
-    #[error("{text:?} is no address; write one such as 10.1.0.7:7201")]
+    #[error("{text:?} is not an address; write one such as 10.1.0.7:7201")]
     InvalidAddress {
         /// The text.
         text: String,
@@ -72,10 +72,10 @@
     #[error("a task needs a target (address:port) or an export (spool and sink)")]
     MissingAction,
     /// The pause between operations, or their longest duration, is zero.
-    #[error("0; an act takes some time, and so does the pause before the next")]
+    #[error("0; an operation takes some time, and so does the pause before the next")]
     ZeroInterval,
     /// A clock fault is larger than any test needs.
-    #[error("a clock in a trial runs wrong by 20% at most")]
+    #[error("the clock of a trial is wrong by 20% at most")]
     ClockErrorTooLarge,
     /// A value that the common reader has rejected.
     #[error(transparent)]
--- a/crates/config/src/lease/section.rs
+++ b/crates/config/src/lease/section.rs
@@ -6,7 +6,7 @@
 use super::{ClockFault, Lease, LeaseConfigError, ScheduledCrash, Task};
 use crate::fault::Faults;
 use crate::quantity;
-use crate::reader::{list, text, Reader};
+use crate::reader::{list, text, Alias, Reader};
 use crate::tree::Node;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -22,6 +22,14 @@
 const DRIFT_RANGE: RangeInclusive<f64> = 0.0..=0.2;
 const DEFAULT_DRIFT: f64 = 0.01;
 
+/// The former names of the section's keys.
+const ALIASES: &[Alias] = &[
+    Alias::new("me", "limiter"),
+    Alias::new("length", "duration"),
+    Alias::new("voters", "acceptors"),
+    Alias::new("die", "crash"),
+];
+
 /// The values as they are read from the file.
 struct Section {
     limiter: Option<String>,
@@ -37,7 +45,7 @@
 
 /// Reads the section; `None` where a required value is missing or invalid. All problems are added to `faults`.
 pub(crate) fn read(file: &Arc<str>, node: &Node, faults: &mut Faults) -> Option<Lease> {
-    let mut reader = Reader::new(file, "lease", node, faults);
+    let mut reader = Reader::new(file, "lease", node, faults).with_aliases(ALIASES);
     let section = Section::read(file, &mut reader, faults);
     let mut check = Check {
         reader: &reader,
@@ -53,17 +61,17 @@
 
 impl Section {
     fn read(file: &Arc<str>, reader: &mut Reader<'_>, faults: &mut Faults) -> Section {
-        let limiter = reader.need("me", faults, text);
+        let limiter = reader.need("limiter", faults, text);
         let key_file = reader.need("key", faults, text);
-        let duration = take_duration(reader, "length", faults);
+        let duration = take_duration(reader, "duration", faults);
         let drift = reader.take("drift", faults, quantity::share);
         let scheduled_crash = reader
-            .node("die")
+            .node("crash")
             .and_then(|node| read_scheduled_crash(file, node, faults));
         let limiters = reader.need("limiters", faults, |node| {
             read_limiters(node).map_err(|error| error.to_string())
         });
-        let acceptors = reader.need("voters", faults, |node| {
+        let acceptors = reader.need("acceptors", faults, |node| {
             list(node).iter().map(text).collect::<Result<Vec<_>, _>>()
         });
         let tasks = reader.node("tasks").map(list).unwrap_or_default();
@@ -123,7 +131,7 @@
 
     fn timing(&mut self, section: &Section) {
         if !DURATION_RANGE.contains(&section.duration) {
-            self.add("length", LeaseConfigError::DurationOutOfRange);
+            self.add("duration", LeaseConfigError::DurationOutOfRange);
         }
         if !DRIFT_RANGE.contains(&section.drift) {
             self.add("drift", LeaseConfigError::DriftTooLarge);
@@ -132,7 +140,7 @@
 
     fn limiter(&mut self, section: &Section) {
         if let Some(name) = &section.limiter {
-            self.is_limiter("me", name, section);
+            self.is_limiter("limiter", name, section);
         }
     }
 
@@ -140,14 +148,14 @@
         let acceptors = &section.acceptors;
         let count = acceptors.len();
         if count.is_multiple_of(2) {
-            self.add("voters", LeaseConfigError::EvenAcceptorCount { count });
+            self.add("acceptors", LeaseConfigError::EvenAcceptorCount { count });
         }
         for (index, name) in acceptors.iter().enumerate() {
             if acceptors[..index].contains(name) {
                 let name = name.clone();
-                self.add("voters", LeaseConfigError::DuplicateName { name });
+                self.add("acceptors", LeaseConfigError::DuplicateName { name });
             }
-            self.is_limiter("voters", name, section);
+            self.is_limiter("acceptors", name, section);
         }
     }
 
--- a/crates/config/src/lease/task.rs
+++ b/crates/config/src/lease/task.rs
@@ -4,7 +4,7 @@
 use super::{LeaseConfigError, Task, TaskAction};
 use crate::fault::Faults;
 use crate::quantity;
-use crate::reader::{text, Reader};
+use crate::reader::{text, Alias, Reader};
 use crate::tree::Node;
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,6 +13,9 @@
 const DEFAULT_INTERVAL: Duration = Duration::from_secs(1);
 const DEFAULT_MAX_OPERATION_DURATION: Duration = Duration::from_millis(250);
 
+/// The former names of a task's keys.
+const ALIASES: &[Alias] = &[Alias::new("longest", "max_operation_duration")];
+
 /// Reads a duration, where the key is there.
 pub(super) fn take_duration(
     reader: &mut Reader<'_>,
@@ -25,14 +28,14 @@
 }
 
 pub(super) fn read_task(file: &Arc<str>, node: &Node, faults: &mut Faults) -> Option<Task> {
-    let mut reader = Reader::new(file, "lease.tasks", node, faults);
+    let mut reader = Reader::new(file, "lease.tasks", node, faults).with_aliases(ALIASES);
     let name = reader.need("name", faults, |node| {
         read_task_name(node).map_err(|error| error.to_string())
     });
     let action = read_action(file, &mut reader, faults);
     let interval = take_duration(&mut reader, "every", faults).unwrap_or(DEFAULT_INTERVAL);
-    let max_operation_duration =
-        take_duration(&mut reader, "longest", faults).unwrap_or(DEFAULT_MAX_OPERATION_DURATION);
+    let max_operation_duration = take_duration(&mut reader, "max_operation_duration", faults)
+        .unwrap_or(DEFAULT_MAX_OPERATION_DURATION);
     if interval.is_zero() || max_operation_duration.is_zero() {
         let problem = LeaseConfigError::ZeroInterval;
         reader.fault("every", problem.to_string(), faults);
--- a/crates/config/src/lease/testing.rs
+++ b/crates/config/src/lease/testing.rs
@@ -66,7 +66,7 @@
     node: &Node,
     faults: &mut Faults,
 ) -> Option<ScheduledCrash> {
-    let mut reader = Reader::new(file, "lease.die", node, faults);
+    let mut reader = Reader::new(file, "lease.crash", node, faults);
     let at = reader.need("at", faults, |node| one_of(&text(node)?, &CRASH_POINTS));
     let after = reader.take("after", faults, |node| {
         quantity::count(node, 0..=MAX_PASSES_BEFORE_CRASH)
--- a/crates/config/src/lease/tests.rs
+++ b/crates/config/src/lease/tests.rs
@@ -3,7 +3,7 @@
 use super::{Lease, TaskAction};
 use crate::Product;
 
-const VALID: &str = "lease:\n  me: a\n  key: k\n  length: 2s\n  drift: 1%\n  limiters:\n    a: 127.0.0.1:1\n    b: 127.0.0.1:2\n    c: 127.0.0.1:3\n  voters: [a, b, c]\n  tasks:\n    - name: beat\n      target: 127.0.0.1:9\n";
+const VALID: &str = "lease:\n  limiter: a\n  key: k\n  duration: 2s\n  drift: 1%\n  limiters:\n    a: 127.0.0.1:1\n    b: 127.0.0.1:2\n    c: 127.0.0.1:3\n  acceptors: [a, b, c]\n  tasks:\n    - name: beat\n      target: 127.0.0.1:9\n";
 
 fn read_lease(text: &str) -> Lease {
     Product::read("q.yaml", text)
@@ -23,7 +23,7 @@
         ),
         (3, 10, "beat")
     );
-    let without = Product::read("q.yaml", "tally: 1s\n").expect("the file is valid");
+    let without = Product::read("q.yaml", "metrics_interval: 1s\n").expect("the file is valid");
     assert_eq!(without.lease, None);
     let export = VALID.replace("target: 127.0.0.1:9", "export: {spool: /s, sink: /k}");
     assert_eq!(
@@ -46,33 +46,33 @@
     (
         "[a, b, c]",
         "[a, b]",
-        "q.yaml:10: lease.voters: 2 voters; an odd number",
+        "q.yaml:10: lease.acceptors: 2 acceptors; an odd number",
     ),
-    ("[a, b, c]", "[]", "q.yaml:10: lease.voters: 0 voters"),
+    ("[a, b, c]", "[]", "q.yaml:10: lease.acceptors: 0 acceptors"),
     (
         "[a, b, c]",
         "[a, b, b]",
-        "q.yaml:10: lease.voters: \"b\" is named twice",
+        "q.yaml:10: lease.acceptors: \"b\" is named twice",
     ),
     (
         "[a, b, c]",
         "[a, b, x]",
-        "q.yaml:10: lease.voters: \"x\" is not one of lease.limiters",
+        "q.yaml:10: lease.acceptors: \"x\" is not one of lease.limiters",
     ),
     (
-        "me: a",
-        "me: z",
-        "q.yaml:2: lease.me: \"z\" is not one of lease.limiters",
+        "limiter: a",
+        "limiter: z",
+        "q.yaml:2: lease.limiter: \"z\" is not one of lease.limiters",
     ),
     (
         "2s",
         "20ms",
-        "q.yaml:4: lease.length: a lease lasts from 100ms",
+        "q.yaml:4: lease.duration: a lease lasts from 100ms",
     ),
     (
         "1%",
         "30%",
-        "q.yaml:5: lease.drift: clocks that may run apart",
+        "q.yaml:5: lease.drift: a clock drift above 20%",
     ),
     (
         "0.1:2",
@@ -96,28 +96,28 @@
     ),
     (
         "2s",
-        "2s\n  die: {at: noon}",
-        "q.yaml:5: lease.die.at: \"noon\" is not known",
+        "2s\n  crash: {at: noon}",
+        "q.yaml:5: lease.crash.at: \"noon\" is not known",
     ),
     (
         "0.1:9",
         "0.1",
-        "q.yaml:13: lease.tasks.target: \"127.0.0.1\" is no address",
+        "q.yaml:13: lease.tasks.target: \"127.0.0.1\" is not an address",
     ),
     (
-        "me: a",
-        "mee: a",
-        "q.yaml:2: lease.mee: unknown key; did you mean me?",
+        "limiter: a",
+        "limitter: a",
+        "q.yaml:2: lease.limitter: unknown key; did you mean limiter?",
     ),
     (
         "2s",
         "2s\n  clock: {fast: 30%}",
-        "q.yaml:5: lease.clock.fast: a clock in a trial runs wrong by 20%",
+        "q.yaml:5: lease.clock.fast: the clock of a trial is wrong by 20%",
     ),
     (
         "2s",
         "300ms",
-        "q.yaml:11: lease.tasks: an act of \"beat\" may take more than half of the lease",
+        "q.yaml:11: lease.tasks: an operation of \"beat\" may take more than half of the lease",
     ),
     (
         "      target: 127.0.0.1:9\n",
@@ -137,12 +137,12 @@
     (
         "0.1:2",
         "0.1",
-        "q.yaml:7: lease.limiters: b (line 8): \"127.0.0.1\" is no address; write one such as 10.1.0.7:7201",
+        "q.yaml:7: lease.limiters: b (line 8): \"127.0.0.1\" is not an address; write one such as 10.1.0.7:7201",
     ),
     (
         "0.1:9",
         "0.1:9\n      every: 0s",
-        "q.yaml:14: lease.tasks.every: 0; an act takes some time, and so does the pause before the next",
+        "q.yaml:14: lease.tasks.every: 0; an operation takes some time, and so does the pause before the next",
     ),
 ];
 
@@ -156,3 +156,40 @@
         assert!(faults.contains(expected), "{expected}\nnot in\n{faults}");
     }
 }
+
+/// A present key with its value as in [`VALID`] or added to it, and the former spelling.
+const RENAMED: [(&str, &str); 5] = [
+    ("  limiter: a\n", "  me: a\n"),
+    ("  duration: 2s\n", "  length: 2s\n"),
+    ("  acceptors: [a, b, c]\n", "  voters: [a, b, c]\n"),
+    (
+        "  crash: {at: batch-cut, after: 3}\n",
+        "  die: {at: batch-cut, after: 3}\n",
+    ),
+    (
+        "      max_operation_duration: 90ms\n",
+        "      longest: 90ms\n",
+    ),
+];
+
+#[test]
+fn former_names_of_keys_are_accepted() {
+    let complete = VALID.replace(
+        "  key: k\n",
+        "  key: k\n  crash: {at: batch-cut, after: 3}\n",
+    ) + "      max_operation_duration: 90ms\n";
+    let lease = read_lease(&complete);
+    assert!(lease.scheduled_crash.is_some());
+    assert_eq!(lease.tasks[0].max_operation_duration.as_millis(), 90);
+    let mut all_former = complete.clone();
+    for (present, former) in RENAMED {
+        assert!(complete.contains(present), "{present}");
+        assert_eq!(
+            read_lease(&complete.replace(present, former)),
+            lease,
+            "{former}"
+        );
+        all_former = all_former.replace(present, former);
+    }
+    assert_eq!(read_lease(&all_former), lease);
+}
--- a/crates/config/src/product.rs
+++ b/crates/config/src/product.rs
@@ -7,7 +7,7 @@
 use crate::fault::Faults;
 use crate::lease::{self, Lease};
 use crate::quantity;
-use crate::reader::{one_of, text, Reader};
+use crate::reader::{one_of, text, Alias, Reader};
 use crate::tree::{self, Node};
 use crate::value::ValueError;
 use std::sync::Arc;
@@ -19,6 +19,9 @@
 const DEFAULT_LOG_BURST: u32 = 5;
 const MAX_LOG_BURST: u64 = 1_000_000;
 
+/// The former names of the file's keys.
+const ALIASES: &[Alias] = &[Alias::new("tally", "metrics_interval")];
+
 const LOG_LEVELS: [(&str, ()); 6] = [
     ("off", ()),
     ("error", ()),
@@ -85,14 +88,14 @@
         let file: Arc<str> = file.into();
         let tree = tree::parse(&file, text)?;
         let mut faults = Faults::default();
-        let mut reader = Reader::new(&file, "", &tree, &mut faults);
+        let mut reader = Reader::new(&file, "", &tree, &mut faults).with_aliases(ALIASES);
         let log = reader
             .node("log")
             .map(|node| read_log(&file, node, &mut faults));
-        let metrics_interval = take_duration(&mut reader, "tally", &mut faults);
+        let metrics_interval = take_duration(&mut reader, "metrics_interval", &mut faults);
         if metrics_interval == Some(Duration::ZERO) {
             let problem = "0; leave it out to have none, or write a time such as 1s";
-            reader.fault("tally", problem, &mut faults);
+            reader.fault("metrics_interval", problem, &mut faults);
         }
         let lease = reader
             .node("lease")
--- a/crates/config/src/product/tests.rs
+++ b/crates/config/src/product/tests.rs
@@ -10,9 +10,24 @@
 #[test]
 fn metrics_are_off_unless_an_interval_is_given() {
     assert_eq!(
-        Product::read("q.yaml", "tally: 1s\n").map(|product| product.metrics_interval),
+        Product::read("q.yaml", "metrics_interval: 1s\n").map(|product| product.metrics_interval),
         Ok(Some(Duration::from_secs(1)))
     );
+    let faults = Product::read("q.yaml", "metrics_interval: 0s\n")
+        .expect_err("faulty")
+        .to_string();
+    assert!(
+        faults.contains("q.yaml:1: metrics_interval: 0; leave it out"),
+        "{faults}"
+    );
+}
+
+#[test]
+fn former_name_of_the_metrics_interval_is_accepted() {
+    assert_eq!(
+        Product::read("q.yaml", "tally: 2s\n"),
+        Product::read("q.yaml", "metrics_interval: 2s\n")
+    );
     let faults = Product::read("q.yaml", "tally: 0s\n")
         .expect_err("faulty")
         .to_string();
--- a/crates/config/src/reader.rs
+++ b/crates/config/src/reader.rs
@@ -1,4 +1,8 @@
 //! Reads the keys of a map. Keys that were not asked for are unknown, and all faults are collected, not only the first.
+//! A key that was renamed is still accepted by its former name.
+
+#[cfg(test)]
+mod tests;
 
 use crate::fault::{nearest, Faults};
 use crate::key_path::join;
@@ -7,6 +11,32 @@
 use std::fmt::Display;
 use std::sync::Arc;
 
+/// A former name that is accepted in place of the present one.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Alias {
+    /// The former name.
+    pub former: &'static str,
+    /// The present name.
+    pub present: &'static str,
+}
+
+impl Alias {
+    /// An alias of `present`.
+    #[must_use]
+    pub const fn new(former: &'static str, present: &'static str) -> Self {
+        Alias { former, present }
+    }
+}
+
+/// The present name for a name that may be a former one.
+#[must_use]
+pub fn present_name<'a>(name: &'a str, aliases: &[Alias]) -> &'a str {
+    aliases
+        .iter()
+        .find(|alias| alias.former == name)
+        .map_or(name, |alias| alias.present)
+}
+
 /// Reads one map. Each method adds its fault to the caller's list and continues without the value.
 pub struct Reader<'a> {
     file: &'a Arc<str>,
@@ -14,6 +44,7 @@
     place: Place,
     entries: &'a [Entry],
     known: Vec<&'static str>,
+    aliases: &'static [Alias],
 }
 
 impl<'a> Reader<'a> {
@@ -33,19 +64,28 @@
             place: node.place,
             entries,
             known: Vec::new(),
+            aliases: &[],
         }
     }
 
+    /// Accepts the former names of keys, too.
+    #[must_use]
+    pub fn with_aliases(mut self, aliases: &'static [Alias]) -> Self {
+        self.aliases = aliases;
+        self
+    }
+
     /// The place where the map begins.
     #[must_use]
     pub fn place(&self) -> Place {
         self.place
     }
 
-    /// The path of a key of this map.
+    /// The path of a key of this map, as the file spells it.
     #[must_use]
     pub fn path(&self, key: &str) -> String {
-        join(&self.path, key)
+        let spelling = self.entry(key).map_or(key, |entry| &entry.key);
+        join(&self.path, spelling)
     }
 
     /// The file's name.
@@ -66,8 +106,16 @@
         self.entry(key).map(|entry| &entry.value)
     }
 
+    /// Whether the map has a key.
+    #[must_use]
+    pub fn has(&self, key: &str) -> bool {
+        self.entry(key).is_some()
+    }
+
     fn entry(&self, key: &str) -> Option<&'a Entry> {
-        self.entries.iter().find(|entry| entry.key == key)
+        self.entries
+            .iter()
+            .find(|entry| present_name(&entry.key, self.aliases) == key)
     }
 
     /// Reads an optional key with `read`, whose error becomes a fault.
@@ -111,17 +159,34 @@
         self.take(key, faults, |node| one_of(&text(node)?, keywords))
     }
 
-    /// Ends the reading: each key that was not asked for is a fault.
+    /// Ends the reading: each key that was not asked for is a fault, and so is a key that is there by its former and by its
+    /// present name.
     pub fn end(self, faults: &mut Faults) {
         for Entry { key, place, .. } in self.entries {
-            if self.known.contains(&key.as_str()) {
-                continue;
+            let present = present_name(key, self.aliases);
+            if !self.known.contains(&present) {
+                faults.add(
+                    self.file,
+                    *place,
+                    join(&self.path, key),
+                    self.unknown_key(key),
+                );
+            } else if present != key && self.entries.iter().any(|entry| entry.key == present) {
+                let problem = format!("the former name of {present}, which is there too");
+                faults.add(self.file, *place, join(&self.path, key), problem);
+            }
+        }
+    }
+
+    /// The problem with an unknown key. A key that resembles a former name is meant to be the present one.
+    fn unknown_key(&self, key: &str) -> String {
+        let former = self.aliases.iter().map(|alias| alias.former);
+        match nearest(key, self.known.iter().copied().chain(former)) {
+            Some(nearest) => {
+                let nearest = present_name(nearest, self.aliases);
+                format!("unknown key; did you mean {nearest}?")
             }
-            let problem = match nearest(key, self.known.iter().copied()) {
-                Some(nearest) => format!("unknown key; did you mean {nearest}?"),
-                None => format!("unknown key; known here: {}", self.known.join(", ")),
-            };
-            faults.add(self.file, *place, self.path(key), problem);
+            None => format!("unknown key; known here: {}", self.known.join(", ")),
         }
     }
 }
@@ -140,6 +205,18 @@
     }
 }
 
+/// Looks a keyword up in a table, by its present or its former name.
+///
+/// # Errors
+/// The table does not have the keyword.
+pub fn one_of_renamed<T: Copy>(
+    keyword: &str,
+    keywords: &[(&str, T)],
+    aliases: &[Alias],
+) -> Result<T, ValueError> {
+    one_of(present_name(keyword, aliases), keywords)
+}
+
 /// Reads a scalar as text.
 ///
 /// # Errors
--- a/crates/config/src/tree/parse.rs
+++ b/crates/config/src/tree/parse.rs
@@ -13,13 +13,13 @@
 enum ParseProblem {
     #[error("not YAML: {0}")]
     NotYaml(String),
-    #[error("a second document; one file holds one")]
+    #[error("a second document; a file has one")]
     SecondDocument,
     #[error("nested more than {MAX_DEPTH} deep")]
     TooDeep,
     #[error("a key that is no plain text")]
     KeyNotText,
-    #[error("an alias, which is not used here")]
+    #[error("a YAML alias; aliases are not supported")]
     Alias,
     #[error("a value that cannot be read")]
     BadValue,
--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -12,15 +12,16 @@
 /// Exit code where there is nothing to check.
 const EXIT_NO_FILES: u8 = 2;
 
-/// Read settings and say all that is wrong with them.
+/// Read configuration files and report all their faults.
 ///
-/// A file is a platform's configuration (JSON with listen, discovery, settings), or a day's settings alone (JSON or
-/// YAML). Our own file is checked with --config. Nothing is started and nothing is listened on.
+/// A file is a platform's configuration (JSON with listen, discovery, settings), or the settings of a
+/// deployment alone (JSON or YAML). The product configuration is checked with --config. No process is started and no
+/// address is opened.
 #[derive(Debug, Args)]
 pub struct Check {
-    /// Configurations and days; BALANCER_CONFIG's where none is named.
+    /// Configurations and deployment files; the file of BALANCER_CONFIG if none is named.
     files: Vec<PathBuf>,
-    /// The form of the report.
+    /// The format of the report.
     #[arg(long, value_enum, default_value_t)]
     format: Format,
 }
@@ -110,7 +111,7 @@
 
 fn report_human(checked: &CheckedFile) -> String {
     if checked.is_valid() {
-        return format!("{}: sound\n", checked.file);
+        return format!("{}: valid\n", checked.file);
     }
     checked
         .faults
