--- a/crates/fault-injection/src/scenario/read.rs
+++ b/crates/fault-injection/src/scenario/read.rs
@@ -4,7 +4,7 @@
     ClockFaults, Fault, FaultTarget, LinkFaults, Scenario, KIND_KEYWORDS, TARGET_KEYWORDS,
 };
 use quartzcleat_config::quantity;
-use quartzcleat_config::reader::{list, one_of, text, Reader};
+use quartzcleat_config::reader::{list, one_of, text, Alias, Reader};
 use quartzcleat_config::{fault::Faults, tree, Node, ValueError};
 use std::ops::RangeInclusive;
 use std::sync::Arc;
@@ -16,6 +16,25 @@
 const DEFAULT_CONFIGURED_DRIFT: f64 = 0.01;
 const DEFAULT_CHANGES: usize = 1;
 
+/// The former names of a scenario's keys.
+const ALIASES: &[Alias] = &[
+    Alias::new("voters", "acceptors"),
+    Alias::new("lease", "lease_duration"),
+    Alias::new("longest", "max_operation_duration"),
+    Alias::new("twice", "duplication"),
+    Alias::new("apart", "clock_drift"),
+    Alias::new("off", "clock_offset"),
+    Alias::new("drawn", "generated_faults"),
+    Alias::new("changes", "required_holder_changes"),
+];
+
+/// The former names of a fault's keys.
+const FAULT_ALIASES: &[Alias] = &[
+    Alias::new("whom", "target"),
+    Alias::new("what", "fault"),
+    Alias::new("lasts", "duration"),
+];
+
 impl Scenario {
     /// Reads a scenario; `file` names it in faults.
     ///
@@ -37,8 +56,7 @@
 }
 
 impl<'a, 'f> Keys<'a, 'f> {
-    fn new(file: &'a Arc<str>, path: &str, node: &'a Node, faults: &'f mut Faults) -> Self {
-        let map = Reader::new(file, path, node, faults);
+    fn new(map: Reader<'a>, faults: &'f mut Faults) -> Self {
         Keys { map, faults }
     }
 
@@ -73,33 +91,40 @@
 
 /// Reads the keys in the order in which their faults are reported.
 fn read_scenario(file: &Arc<str>, tree: &Node, faults: &mut Faults) -> Scenario {
-    let mut keys = Keys::new(file, "", tree, faults);
+    let map = Reader::new(file, "", tree, faults).with_aliases(ALIASES);
+    let mut keys = Keys::new(map, faults);
     let limiters = keys.required_count("limiters", 1..=300).unwrap_or(1);
-    let voters = keys.count("voters", 1..=limiters as u64).unwrap_or(1);
+    let voters = keys.count("acceptors", 1..=limiters as u64).unwrap_or(1);
     let scenario = Scenario {
         limiters,
         voters,
-        lease_length: keys.duration("lease").unwrap_or(DEFAULT_LEASE_LENGTH),
+        lease_length: keys
+            .duration("lease_duration")
+            .unwrap_or(DEFAULT_LEASE_LENGTH),
         action_interval: keys.duration("every").unwrap_or(DEFAULT_ACTION_INTERVAL),
-        max_action_time: keys.duration("longest").unwrap_or(DEFAULT_MAX_ACTION_TIME),
+        max_action_time: keys
+            .duration("max_operation_duration")
+            .unwrap_or(DEFAULT_MAX_ACTION_TIME),
         links: LinkFaults {
             loss: keys.share("loss").unwrap_or(0.0),
-            duplication: keys.share("twice").unwrap_or(0.0),
+            duplication: keys.share("duplication").unwrap_or(0.0),
             max_delay: keys.duration("delay").unwrap_or_default(),
         },
         configured_drift: keys.share("drift").unwrap_or(DEFAULT_CONFIGURED_DRIFT),
         clocks: ClockFaults {
-            rate_spread: keys.share("apart").unwrap_or(0.0),
-            max_wall_offset: keys.duration("off").unwrap_or_default(),
+            rate_spread: keys.share("clock_drift").unwrap_or(0.0),
+            max_wall_offset: keys.duration("clock_offset").unwrap_or_default(),
         },
-        random_faults: keys.count("drawn", 0..=100).unwrap_or(0),
+        random_faults: keys.count("generated_faults", 0..=100).unwrap_or(0),
         duration: keys.required_duration("end").unwrap_or_default(),
-        changes: keys.count("changes", 0..=1_000).unwrap_or(DEFAULT_CHANGES),
+        changes: keys
+            .count("required_holder_changes", 0..=1_000)
+            .unwrap_or(DEFAULT_CHANGES),
         faults: read_faults(file, &mut keys),
     };
     if voters.is_multiple_of(2) {
         keys.map.fault(
-            "voters",
+            "acceptors",
             "even; an odd number has a majority on one side of any split",
             keys.faults,
         );
@@ -117,15 +142,16 @@
 }
 
 fn read_fault(file: &Arc<str>, node: &Node, faults: &mut Faults) -> Option<Fault> {
-    let mut keys = Keys::new(file, "faults", node, faults);
+    let map = Reader::new(file, "faults", node, faults).with_aliases(FAULT_ALIASES);
+    let mut keys = Keys::new(map, faults);
     let at = keys.required_duration("at");
-    let target = keys.map.take("whom", keys.faults, |node| {
+    let target = keys.map.take("target", keys.faults, |node| {
         one_of(&text(node)?, &TARGET_KEYWORDS)
     });
-    let kind = keys.map.need("what", keys.faults, |node| {
+    let kind = keys.map.need("fault", keys.faults, |node| {
         one_of(&text(node)?, &KIND_KEYWORDS)
     });
-    let duration = keys.required_duration("lasts");
+    let duration = keys.required_duration("duration");
     keys.map.end(keys.faults);
     Some(Fault {
         at: at?,
--- a/crates/fault-injection/src/scenario/tests.rs
+++ b/crates/fault-injection/src/scenario/tests.rs
@@ -24,3 +24,55 @@
         );
     }
 }
+
+const SCENARIO: &str = "\
+limiters: 5
+acceptors: 3
+lease_duration: 700ms
+every: 30ms
+max_operation_duration: 90ms
+loss: 4%
+duplication: 3%
+delay: 15ms
+drift: 2.1%
+clock_drift: 2%
+clock_offset: 1h
+generated_faults: 2
+end: 9s
+required_holder_changes: 4
+faults:
+  - {at: 1s, target: any, fault: pause, duration: 800ms}
+";
+
+/// A present key, and its former name.
+const RENAMED: [(&str, &str); 11] = [
+    ("acceptors", "voters"),
+    ("lease_duration", "lease"),
+    ("max_operation_duration", "longest"),
+    ("duplication", "twice"),
+    ("clock_drift", "apart"),
+    ("clock_offset", "off"),
+    ("generated_faults", "drawn"),
+    ("required_holder_changes", "changes"),
+    (" target", " whom"),
+    (" fault", " what"),
+    (" duration", " lasts"),
+];
+
+#[test]
+fn former_names_of_keys_are_accepted() {
+    let scenario = Scenario::read("present.yaml", SCENARIO).expect("the scenario is valid");
+    let mut all_former = SCENARIO.to_owned();
+    for (present, former) in RENAMED {
+        let (present, former) = (format!("{present}:"), format!("{former}:"));
+        assert_eq!(SCENARIO.matches(&present).count(), 1, "{present}");
+        let text = SCENARIO.replace(&present, &former);
+        assert_eq!(
+            Scenario::read("former.yaml", &text),
+            Ok(scenario.clone()),
+            "{former}"
+        );
+        all_former = all_former.replace(&present, &former);
+    }
+    assert_eq!(Scenario::read("former.yaml", &all_former), Ok(scenario));
+}
--- a/crates/fault-injection/src/scenario/write.rs
+++ b/crates/fault-injection/src/scenario/write.rs
@@ -9,8 +9,9 @@
     #[must_use]
     pub fn write(&self) -> String {
         let mut text = format!(
-            "limiters: {}\nvoters: {}\nlease: {}\nevery: {}\nlongest: {}\ndrift: {}\napart: {}\noff: {}\nloss: {}\n\
-             twice: {}\ndelay: {}\ndrawn: {}\nend: {}\nchanges: {}\n",
+            "limiters: {}\nacceptors: {}\nlease_duration: {}\nevery: {}\nmax_operation_duration: {}\ndrift: {}\n\
+             clock_drift: {}\nclock_offset: {}\nloss: {}\nduplication: {}\ndelay: {}\ngenerated_faults: {}\n\
+             end: {}\nrequired_holder_changes: {}\n",
             self.limiters,
             self.voters,
             time(self.lease_length),
@@ -38,7 +39,7 @@
 
 fn fault_line(fault: &Fault) -> String {
     format!(
-        "  - {{at: {}, whom: {}, what: {}, lasts: {}}}\n",
+        "  - {{at: {}, target: {}, fault: {}, duration: {}}}\n",
         time(fault.at),
         fault.target.keyword(),
         fault.kind.keyword(),
