--- a/crates/expectations/src/check.rs
+++ b/crates/expectations/src/check.rs
@@ -1,5 +1,5 @@
-//! Checks all expectations of some files, for one deployment or several: each is explored, judged, and varied to see
-//! whether it says anything at all.
+//! Checks all expectations of some files, for one deployment or several: each is explored and judged, and one
+//! that holds is varied to see whether it is vacuous.
 
 mod options;
 mod result;
--- a/crates/expectations/src/check/options.rs
+++ b/crates/expectations/src/check/options.rs
@@ -1,4 +1,4 @@
-//! What is to be checked, and how.
+//! The options of a check.
 
 use crate::explore::Budget;
 use std::path::PathBuf;
@@ -12,7 +12,7 @@
     pub values: Vec<f64>,
 }
 
-/// What is to be checked, and how.
+/// The options of a check.
 #[derive(Clone, Debug)]
 pub struct Options {
     /// Files of expectations, and folders of them.
@@ -31,7 +31,7 @@
     pub budget: Budget,
     /// Whether failures are attributed to lines of configuration.
     pub attribute_sources: bool,
-    /// Whether expectations that hold are varied to see if they say anything.
+    /// Whether expectations that hold are varied to find vacuous ones.
     pub check_vacuity: bool,
     /// How many expectations are explored concurrently; 0 for one a core.
     pub jobs: usize,
--- a/crates/expectations/src/check/result.rs
+++ b/crates/expectations/src/check/result.rs
@@ -14,7 +14,7 @@
     Failed,
     /// No run exercised one of its requirements.
     Untested,
-    /// One of its requirements holds whatever is changed of what it names.
+    /// One of its requirements holds under every variation of the expectation.
     #[serde(rename = "says-nothing")]
     Vacuous,
     /// It cannot be used.
--- a/crates/expectations/src/check/single.rs
+++ b/crates/expectations/src/check/single.rs
@@ -82,7 +82,7 @@
                     violation: Violation {
                         at: 0,
                         request: None,
-                        description: "nothing fails on this path".to_owned(),
+                        description: "no failure on this path".to_owned(),
                     },
                     records,
                 };
@@ -203,7 +203,7 @@
     if exploration.failure.is_some() {
         return Vec::new();
     }
-    let note = |line: u32| format!("line {line}: no play put this to the test");
+    let note = |line: u32| format!("line {line}: no run exercises this requirement");
     compiled
         .requirements
         .iter()
--- a/crates/expectations/src/check/vacuity.rs
+++ b/crates/expectations/src/check/vacuity.rs
@@ -1,4 +1,4 @@
-//! Finds requirements that say nothing: they hold whatever is changed of what their expectation names.
+//! Finds vacuous requirements: they hold under every variation of their expectation.
 
 use super::tasks::CheckTask;
 use super::variation::{scaled_requests, without_step};
@@ -33,7 +33,7 @@
 /// A value that differs by less than this share has not changed.
 const RELATIVE_TOLERANCE: f64 = 0.02;
 
-/// Notes on the requirements that hold whatever is changed of what the expectation names.
+/// Notes on the requirements that hold under every variation of the expectation.
 pub(super) fn vacuous_requirements(
     task: &CheckTask,
     compiled: &CompiledExpectation,
@@ -56,7 +56,7 @@
         .filter(|(_, is_sensitive)| !**is_sensitive)
         .map(|(requirement, _)| {
             format!(
-                "line {}: holds whatever is changed of what the expectation names",
+                "line {}: holds under every variation of the expectation",
                 requirement.line
             )
         })
@@ -65,7 +65,7 @@
 
 /// Whether a variation makes a difference to a requirement.
 fn is_affected(index: usize, original: RequirementCoverage, varied: &Exploration) -> bool {
-    // A violated invariant says nothing of the requirement.
+    // A violated invariant is no evidence about the requirement.
     let has_failed = varied
         .failure
         .as_ref()
@@ -78,7 +78,7 @@
         || difference > RELATIVE_TOLERANCE * original.largest_value.abs()
 }
 
-/// The expectation with something varied of what it names.
+/// Variations of the expectation: fewer events, more and fewer requests, other outcomes, environments and settings.
 fn variations(task: &CheckTask, compiled: &CompiledExpectation) -> Vec<CompiledExpectation> {
     let is_request = |step: &Step| matches!(step.event, ScenarioEvent::Request(_));
     let steps = compiled.scenario.steps.iter().enumerate();
@@ -120,7 +120,7 @@
         .collect()
 }
 
-/// Scenarios in which something that expectations rest on is quite different.
+/// Scenarios whose environment differs: hosts, counter, retries, deduplication and zones.
 fn other_environments(compiled: &CompiledExpectation) -> Vec<CompiledExpectation> {
     let each_host = |change: fn(&mut HostSetup)| {
         varied(compiled, |scenario| {
--- a/crates/expectations/src/compile.rs
+++ b/crates/expectations/src/compile.rs
@@ -1,6 +1,7 @@
 //! Compiles an expectation for a deployment: names become indices, formulas are evaluated with the settings in
 //! force, and the result is a scenario for the simulation with requirements on its records.
 
+mod aliases;
 mod given;
 mod installation;
 mod reading;
@@ -43,7 +44,7 @@
     pub setting_keys: BTreeSet<String>,
 }
 
-/// What is known while an expectation is compiled.
+/// The names and values that an expectation is compiled with.
 struct Compiler<'a> {
     deployment: &'a Deployment,
     processes: Processes,
@@ -65,8 +66,10 @@
 ) -> Result<CompiledExpectation, Faults> {
     let mut faults = Faults::default();
     let installation_file = &suite.installation.file;
-    let mut top = Reader::new(installation_file, "", &suite.installation.tree, &mut faults);
-    let mut given = Reader::new(&expectation.file, "given", &expectation.given, &mut faults);
+    let mut top = Reader::new(installation_file, "", &suite.installation.tree, &mut faults)
+        .with_aliases(aliases::INSTALLATION_KEYS);
+    let mut given = Reader::new(&expectation.file, "given", &expectation.given, &mut faults)
+        .with_aliases(aliases::GIVEN_KEYS);
     let deployment = &with_given_settings(deployment, &mut given, &mut faults);
 
     let mut installation = Installation::read(&mut top, deployment, &mut faults);
--- a/crates/expectations/src/compile/given.rs
+++ b/crates/expectations/src/compile/given.rs
@@ -1,9 +1,10 @@
 //! What an expectation gives: partners, the counter, and what is left open to the search.
 
+use super::aliases;
 use super::reading::{index_of, keywords, members};
 use super::Compiler;
 use crate::error::ValueError;
-use quartzcleat_config::reader::{flag, one_of, text};
+use quartzcleat_config::reader::{flag, one_of_renamed, text};
 use quartzcleat_config::tree::{Content, Entry, Node};
 use quartzcleat_config::{quantity, Faults, Reader};
 use quartzcleat_decision::api::Nanos;
@@ -16,26 +17,29 @@
 const ATTEMPT_OUTCOMES: [(&str, AttemptOutcome); 9] = [
     ("normal", AttemptOutcome::Normal),
     ("error", AttemptOutcome::Error),
-    ("busy", AttemptOutcome::Rejected),
-    ("refused", AttemptOutcome::ConnectionRefused),
-    ("reset after it ran", AttemptOutcome::ResetAfterExecution),
-    ("reset before it ran", AttemptOutcome::ResetBeforeExecution),
-    ("silent after it ran", AttemptOutcome::AnswerLost),
-    ("silent", AttemptOutcome::RequestLost),
+    ("rejected", AttemptOutcome::Rejected),
+    ("connection refused", AttemptOutcome::ConnectionRefused),
+    ("reset after execution", AttemptOutcome::ResetAfterExecution),
+    (
+        "reset before execution",
+        AttemptOutcome::ResetBeforeExecution,
+    ),
+    ("answer lost", AttemptOutcome::AnswerLost),
+    ("request lost", AttemptOutcome::RequestLost),
     ("late", AttemptOutcome::Late),
 ];
 
 const COUNTER_CALL_OUTCOMES: [(&str, CounterCallOutcome); 4] = [
     ("normal", CounterCallOutcome::Normal),
-    ("lost", CounterCallOutcome::RequestLost),
+    ("request lost", CounterCallOutcome::RequestLost),
     ("answer lost", CounterCallOutcome::AnswerLost),
-    ("refused", CounterCallOutcome::Rejected),
+    ("rejected", CounterCallOutcome::Rejected),
 ];
 
 const COUNTER_MODES: [(&str, CounterMode); 4] = [
     ("normal", CounterMode::Normal),
     ("silent", CounterMode::Silent),
-    ("refusing", CounterMode::Refusing),
+    ("rejecting", CounterMode::Refusing),
     ("slow 5", CounterMode::Slow(5.0)),
 ];
 
@@ -117,7 +121,9 @@
         if let Some(delays) = given.take("discovery", faults, |node| self.times(node)) {
             scenario.discovery_delays = delays;
         }
-        let outcomes = given.take("attempts", faults, |node| keywords(node, &ATTEMPT_OUTCOMES));
+        let outcomes = given.take("attempts", faults, |node| {
+            keywords(node, &ATTEMPT_OUTCOMES, aliases::ATTEMPT_OUTCOMES)
+        });
         if let Some(outcomes) = outcomes {
             scenario.attempt_outcomes = outcomes;
         }
@@ -134,9 +140,10 @@
             scenario.max_duration = duration;
         }
         if let Some(node) = given.node("retry") {
-            let mut map = Reader::new(file, "given.retry", node, faults);
+            let mut map =
+                Reader::new(file, "given.retry", node, faults).with_aliases(aliases::RETRY_KEYS);
             let delay = map.take("after", faults, |node| self.time(node));
-            let next_limiter = map.take("elsewhere", faults, flag);
+            let next_limiter = map.take("next_limiter", faults, flag);
             map.end(faults);
             scenario.retry = Some(RetryPolicy {
                 delay: delay.unwrap_or(DEFAULT_RETRY_DELAY),
@@ -161,30 +168,35 @@
         }
         return;
     }
-    let mut map = Reader::new(file, "given.counter", node, faults);
-    if let Some(mode) = map.take("is", faults, counter_mode) {
+    let mut map =
+        Reader::new(file, "given.counter", node, faults).with_aliases(aliases::COUNTER_KEYS);
+    if let Some(mode) = map.take("mode", faults, counter_mode) {
         counter.mode = mode;
     }
     let outcomes = map.take("calls", faults, |node| {
-        keywords(node, &COUNTER_CALL_OUTCOMES)
+        keywords(node, &COUNTER_CALL_OUTCOMES, aliases::COUNTER_CALL_OUTCOMES)
     });
     if let Some(outcomes) = outcomes {
         counter.call_outcomes = outcomes;
     }
-    if let Some(duration) = map.take("call", faults, quantity::time) {
+    if let Some(duration) = map.take("call_duration", faults, quantity::time) {
         counter.call_duration = duration;
     }
-    if let Some(shards) = map.take("parts", faults, |node| quantity::count(node, 1..=64)) {
+    if let Some(shards) = map.take("shards", faults, |node| quantity::count(node, 1..=64)) {
         counter.shards = shards as u32;
     }
     map.end(faults);
 }
 
-/// A counter's mode: `normal`, `silent`, `refusing`, `slow 5`.
+/// A counter's mode: `normal`, `silent`, `rejecting`, `slow 5`.
 pub(super) fn counter_mode(node: &Node) -> Result<CounterMode, ValueError> {
     let keyword = text(node)?;
     let Some(factor) = keyword.strip_prefix("slow ") else {
-        return Ok(one_of(&keyword, &COUNTER_MODES)?);
+        return Ok(one_of_renamed(
+            &keyword,
+            &COUNTER_MODES,
+            aliases::COUNTER_MODES,
+        )?);
     };
     match factor.trim().parse::<f64>() {
         Ok(factor) if (1.0..=MAX_SLOW_FACTOR).contains(&factor) => Ok(CounterMode::Slow(factor)),
--- a/crates/expectations/src/compile/installation.rs
+++ b/crates/expectations/src/compile/installation.rs
@@ -1,7 +1,9 @@
 //! The installation: zones, limiters, delays, hosts, and the facts that no setting changes.
 
+use super::aliases;
 use super::reading::{index_of, index_of_name, index_of_process, members};
-use quartzcleat_config::reader::{flag, list};
+use crate::error::ValueError;
+use quartzcleat_config::reader::{flag, list, one_of_renamed, text};
 use quartzcleat_config::tree::{Content, Entry, Node, Place};
 use quartzcleat_config::{quantity, Deployment, Faults, Reader};
 use quartzcleat_decision::api::{Class, Effect, Group, HostState, Nanos, Settings};
@@ -21,23 +23,29 @@
 }
 
 const REPEATS: [(&str, Repeats); 5] = [
-    ("safe", repeats(Effect::Retryable, Group::All)),
+    ("idempotent", repeats(Effect::Retryable, Group::All)),
     ("never", repeats(Effect::Unsafe, Group::Cell)),
-    ("dropped by all", repeats(Effect::Keyed, Group::All)),
-    ("dropped by the room", repeats(Effect::Keyed, Group::Zone)),
-    ("dropped by the cell", repeats(Effect::Keyed, Group::Cell)),
+    ("deduplicated by all", repeats(Effect::Keyed, Group::All)),
+    (
+        "deduplicated by the zone",
+        repeats(Effect::Keyed, Group::Zone),
+    ),
+    (
+        "deduplicated by the cell",
+        repeats(Effect::Keyed, Group::Cell),
+    ),
 ];
 
 const fn repeats(effect: Effect, group: Group) -> Repeats {
     Repeats { effect, group }
 }
 
-/// What an installation and an expectation give beside the settings.
+/// The facts that an installation and an expectation add to the settings.
 pub(super) struct Installation {
     pub(super) processes: Processes,
     pub(super) hosts: Vec<HostSetup>,
     pub(super) network: NetworkDelays,
-    /// What holds in truth, whatever the settings say.
+    /// The true settings of hosts and rules, which the settings under test do not change.
     pub(super) ground_truth: Settings,
     /// The work of a request, by class.
     pub(super) work: Vec<Nanos>,
@@ -48,7 +56,7 @@
     pub(super) fn read(top: &mut Reader<'_>, deployment: &Deployment, faults: &mut Faults) -> Self {
         let file = top.file();
         let classes = &deployment.settings.classes;
-        let mut zones = read_names(top, "rooms", faults);
+        let mut zones = read_names(top, "zones", faults);
         if zones.is_empty() {
             zones.clone_from(&deployment.zone_names);
         }
@@ -61,7 +69,7 @@
                 ..Processes::default()
             },
             hosts: Vec::new(),
-            network: read_network(top.node("net"), file, faults),
+            network: read_network(top.node("network"), file, faults),
             ground_truth: deployment.settings.clone(),
             work: vec![DEFAULT_WORK; classes.len()],
         };
@@ -74,7 +82,7 @@
     pub(super) fn read_given(&mut self, given: &mut Reader<'_>, faults: &mut Faults) {
         let file = given.file();
         self.read_hosts(given.node("nodes"), file, faults);
-        if let Some(node) = given.node("net") {
+        if let Some(node) = given.node("network") {
             self.network = read_network(Some(node), file, faults);
         }
         self.read_facts(given.node("facts"), file, faults);
@@ -83,17 +91,19 @@
     fn read_facts(&mut self, node: Option<&Node>, file: &Arc<str>, faults: &mut Faults) {
         let Some(node) = node else { return };
         let truth = &mut self.ground_truth;
-        let mut map = Reader::new(file, "facts", node, faults);
+        let mut map = Reader::new(file, "facts", node, faults).with_aliases(aliases::FACT_KEYS);
         replace(
             &mut truth.drain_grace,
-            map.take("drain", faults, quantity::time),
+            map.take("drain_grace", faults, quantity::time),
         );
-        let max_attempts = map.take("attempts", faults, |node| quantity::count(node, 1..=100));
+        let max_attempts = map.take("max_attempts", faults, |node| {
+            quantity::count(node, 1..=100)
+        });
         replace(
             &mut truth.max_attempts,
             max_attempts.map(|count| count as u32),
         );
-        if let Some(node) = map.node("cold") {
+        if let Some(node) = map.node("slow_start") {
             read_slow_start(truth, node, file, faults);
         }
         if let Some(node) = map.node("classes") {
@@ -114,7 +124,8 @@
             match index_of_name(name, names, "class") {
                 Ok(index) => {
                     let class = &mut self.ground_truth.classes[index];
-                    let mut map = Reader::new(file, &path, node, faults);
+                    let mut map = Reader::new(file, &path, node, faults)
+                        .with_aliases(aliases::CLASS_FACT_KEYS);
                     read_class(&mut map, class, &mut self.work[index], faults);
                     map.end(faults);
                 }
@@ -123,7 +134,7 @@
         }
     }
 
-    /// Hosts: a map of names with what differs from a usual host, or a list of the names that are there at all.
+    /// Hosts: a map of names and the differences from a default host, or a list of the only hosts that are present.
     fn read_hosts(&mut self, node: Option<&Node>, file: &Arc<str>, faults: &mut Faults) {
         let Some(node) = node else { return };
         if let Content::List(names) = &node.content {
@@ -137,9 +148,10 @@
         } in members(node, file, "nodes", faults)
         {
             let index = self.host_index(name);
-            let mut map = Reader::new(file, &format!("nodes.{name}"), node, faults);
+            let mut map = Reader::new(file, &format!("nodes.{name}"), node, faults)
+                .with_aliases(aliases::HOST_KEYS);
             let zones = &self.processes.zones;
-            let zone = map.take("room", faults, |node| index_of(node, zones, "room"));
+            let zone = map.take("zone", faults, |node| index_of(node, zones, "zone"));
             let host = &mut self.processes.hosts[index];
             replace(&mut host.zone, zone.map(|zone| zone as u32));
             let cell = map.take("cell", faults, |node| quantity::count(node, 0..=1_000_000));
@@ -217,7 +229,7 @@
 ) -> Vec<Process> {
     let Some(node) = node else {
         let start = Place { line: 1, column: 1 };
-        faults.add(file, start, "limiters", "missing; write name: room lines");
+        faults.add(file, start, "limiters", "missing; write name: zone lines");
         return Vec::new();
     };
     let mut limiters = Vec::new();
@@ -227,7 +239,7 @@
         value: zone,
     } in members(node, file, "limiters", faults)
     {
-        match index_of(zone, zones, "room") {
+        match index_of(zone, zones, "zone") {
             Ok(zone) => limiters.push(Process {
                 name: name.clone(),
                 zone: zone as u32,
@@ -244,14 +256,14 @@
 fn read_network(node: Option<&Node>, file: &Arc<str>, faults: &mut Faults) -> NetworkDelays {
     let mut network = NetworkDelays::default();
     let Some(node) = node else { return network };
-    let mut map = Reader::new(file, "net", node, faults);
+    let mut map = Reader::new(file, "network", node, faults).with_aliases(aliases::NETWORK_KEYS);
     replace(
         &mut network.same_zone,
-        map.take("same", faults, quantity::time),
+        map.take("same_zone", faults, quantity::time),
     );
     replace(
         &mut network.cross_zone,
-        map.take("cross", faults, quantity::time),
+        map.take("cross_zone", faults, quantity::time),
     );
     replace(
         &mut network.counter,
@@ -262,50 +274,57 @@
 }
 
 fn read_slow_start(truth: &mut Settings, node: &Node, file: &Arc<str>, faults: &mut Faults) {
-    let mut map = Reader::new(file, "facts.cold", node, faults);
+    let mut map =
+        Reader::new(file, "facts.slow_start", node, faults).with_aliases(aliases::SLOW_START_KEYS);
     replace(
         &mut truth.slow_start_floor,
-        map.take("from", faults, quantity::share),
+        map.take("floor", faults, quantity::share),
     );
     replace(
         &mut truth.slow_start_duration,
-        map.take("warm", faults, quantity::time),
+        map.take("duration", faults, quantity::time),
     );
     replace(
         &mut truth.overload_duration,
-        map.take("tip", faults, quantity::time),
+        map.take("overload_duration", faults, quantity::time),
     );
     replace(
         &mut truth.overload_factor,
-        map.take("overload", faults, quantity::number),
+        map.take("overload_factor", faults, quantity::number),
     );
     map.end(faults);
 }
 
 fn read_class(map: &mut Reader<'_>, class: &mut Class, work: &mut Nanos, faults: &mut Faults) {
-    if let Some(repeats) = map.keyword("repeats", &REPEATS, faults) {
+    if let Some(repeats) = map.take("repeats", faults, read_repeats) {
         class.effect = repeats.effect;
         class.group = repeats.group;
     }
     replace(
         &mut class.dedup_window,
-        map.take("window", faults, quantity::time),
+        map.take("dedup_window", faults, quantity::time),
     );
     replace(work, map.take("work", faults, quantity::time));
 }
 
+fn read_repeats(node: &Node) -> Result<Repeats, ValueError> {
+    Ok(one_of_renamed(&text(node)?, &REPEATS, aliases::REPEATS)?)
+}
+
 fn read_host_setup(map: &mut Reader<'_>, setup: &mut HostSetup, faults: &mut Faults) {
     let states = [
         ("serving", HostState::Ready),
         ("draining", HostState::Draining),
     ];
     replace(&mut setup.state, map.keyword("state", &states, faults));
-    if let Some(uptime) = map.take("age", faults, quantity::time) {
+    if let Some(uptime) = map.take("uptime", faults, quantity::time) {
         setup.uptime = Some(uptime);
     }
     let cores = map.take("cores", faults, |node| quantity::count(node, 1..=1024));
     replace(&mut setup.cores, cores.map(|cores| cores as u32));
-    let capacity = map.take("slots", faults, |node| quantity::count(node, 0..=1_000_000));
+    let capacity = map.take("queue_capacity", faults, |node| {
+        quantity::count(node, 0..=1_000_000)
+    });
     replace(
         &mut setup.queue_capacity,
         capacity.map(|capacity| capacity as usize),
@@ -314,7 +333,7 @@
         if speed > 0.0 {
             setup.speed = speed;
         } else {
-            let problem = "0; a node that does nothing is one that dies";
+            let problem = "0; a node without any speed has crashed";
             map.fault("speed", problem, faults);
         }
     }
--- a/crates/expectations/src/compile/reading.rs
+++ b/crates/expectations/src/compile/reading.rs
@@ -2,7 +2,7 @@
 
 use super::Compiler;
 use crate::error::ValueError;
-use quartzcleat_config::reader::{list, one_of, text};
+use quartzcleat_config::reader::{list, one_of_renamed, text, Alias, Reader};
 use quartzcleat_config::tree::{Content, Entry, Node};
 use quartzcleat_config::{formula, Faults};
 use quartzcleat_decision::api::Nanos;
@@ -65,10 +65,14 @@
 }
 
 /// One keyword or a list of them.
-pub(super) fn keywords<T: Copy>(node: &Node, known: &[(&str, T)]) -> Result<Vec<T>, ValueError> {
+pub(super) fn keywords<T: Copy>(
+    node: &Node,
+    known: &[(&str, T)],
+    aliases: &[Alias],
+) -> Result<Vec<T>, ValueError> {
     let values: Vec<T> = list(node)
         .iter()
-        .map(|node| Ok(one_of(&text(node)?, known)?))
+        .map(|node| Ok(one_of_renamed(&text(node)?, known, aliases)?))
         .collect::<Result<_, ValueError>>()?;
     if values.is_empty() {
         return Err(ValueError::NoKeyword);
@@ -76,16 +80,16 @@
     Ok(values)
 }
 
-/// The keys of which a map must have exactly one, which tells what it is.
+/// The keys of which a map must have exactly one, which states the kind of the map.
 pub(super) struct Kinds {
     pub(super) keys: &'static [&'static str],
-    /// What a map without any of them lacks.
+    /// The problem with a map that has none of them.
     pub(super) lacking: &'static str,
-    /// What to write in place of a map with several of them.
+    /// How to write a map that has several of them.
     pub(super) remedy: &'static str,
 }
 
-/// A map does not have exactly one of the keys that tell what it is.
+/// A map does not have exactly one of the keys that state its kind.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum KindError {
     /// It has none.
@@ -103,10 +107,10 @@
 }
 
 impl Kinds {
-    /// The one key of a map that tells what it is.
-    pub(super) fn of(&self, node: &Node) -> Result<&'static str, KindError> {
+    /// The one key of a map that states its kind.
+    pub(super) fn of(&self, map: &Reader<'_>) -> Result<&'static str, KindError> {
         let keys = self.keys.iter().copied();
-        let found: Vec<&'static str> = keys.filter(|key| node.get(key).is_some()).collect();
+        let found: Vec<&'static str> = keys.filter(|key| map.has(key)).collect();
         match found.as_slice() {
             [kind] => Ok(kind),
             [] => Err(KindError::None {
--- a/crates/expectations/src/compile/requests.rs
+++ b/crates/expectations/src/compile/requests.rs
@@ -75,14 +75,14 @@
         let partners: Option<Vec<usize>> = map.need("from", faults, |node| self.partners(node));
         let limiters = map.take("through", faults, |node| self.limiters(node));
         let units = map.take("units", faults, |node| self.units(node));
-        let true_units = map.take("cost", faults, |node| self.number(node));
+        let true_units = map.take("true_units", faults, |node| self.number(node));
         if true_units.is_some() && !self.deployment.settings.settled_later {
-            let problem = "units are no guess on this day (familyInfo.costAfter)";
-            map.fault("cost", problem, faults);
+            let problem = "units are not estimates in these settings (familyInfo.costAfter)";
+            map.fault("true_units", problem, faults);
         }
         let count = map.take("count", faults, |node| self.request_count(node));
         let interval = map.take("every", faults, |node| self.time(node));
-        let timeout = map.take("wait", faults, |node| self.time(node));
+        let timeout = map.take("timeout", faults, |node| self.time(node));
         let mark = map.take("mark", faults, text);
         let count = count.unwrap_or(1);
         if mark.is_some() && count > 1 {
--- a/crates/expectations/src/compile/requirements.rs
+++ b/crates/expectations/src/compile/requirements.rs
@@ -1,40 +1,41 @@
 //! Requirements: which requests they are about, and what must hold, with formulas evaluated.
 
+use super::aliases;
 use super::reading::{index_of_name, process_names, Kinds};
 use super::Compiler;
 use crate::error::ValueError;
 use crate::requirement::{
     Bounds, Condition, Metric, RequestEvent, RequestFilter, RequestKind, Requirement,
 };
-use quartzcleat_config::reader::{one_of, text};
+use quartzcleat_config::reader::{one_of_renamed, text};
 use quartzcleat_config::tree::{Content, Node};
 use quartzcleat_config::{quantity, Faults, Reader};
 use quartzcleat_decision::api::{HostState, Nanos};
 use std::sync::Arc;
 
-/// The keys that tell what a requirement demands.
+/// The keys that state the condition of a requirement.
 const KINDS: Kinds = Kinds {
     keys: &[
         "never",
         "always",
         "attempts",
-        "runs",
-        "open",
+        "executions",
+        "concurrent_attempts",
         "units",
-        "sent",
+        "forwarded",
         "served",
-        "refused",
+        "rejected",
         "failed",
-        "crossings",
+        "cross_zone_attempts",
         "share",
         "answered",
-        "told",
+        "retry_after",
     ],
-    lacking: "demands nothing",
+    lacking: "a requirement without a condition",
     remedy: "write an entry for each",
 };
 
-/// What bounds are written in.
+/// The unit of bounds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum BoundUnit {
     Time,
@@ -66,9 +67,10 @@
             file,
             path: format!("must.{index}"),
         };
-        let mut map = Reader::new(file, &location.path, node, faults);
+        let mut map =
+            Reader::new(file, &location.path, node, faults).with_aliases(aliases::REQUIREMENT_KEYS);
         let filter = self.read_filter(&mut map, faults);
-        let kind = match KINDS.of(node) {
+        let kind = match KINDS.of(&map) {
             Ok(kind) => kind,
             Err(problem) => {
                 faults.add(file, node.place, location.path, problem);
@@ -88,7 +90,7 @@
     fn read_filter(&mut self, map: &mut Reader<'_>, faults: &mut Faults) -> RequestFilter {
         let kinds = [
             ("first", RequestKind::First),
-            ("further", RequestKind::Retry),
+            ("retries", RequestKind::Retry),
         ];
         RequestFilter {
             class: map.take("class", faults, |node| self.class(node)),
@@ -99,7 +101,9 @@
                 .take("after", faults, |node| self.time(node))
                 .unwrap_or(0),
             until: map.take("until", faults, |node| self.time(node)),
-            kind: map.keyword("tries", &kinds, faults),
+            kind: map.take("requests", faults, |node| {
+                one_of_renamed(&text(node)?, &kinds, aliases::REQUEST_KINDS)
+            }),
         }
     }
 
@@ -131,9 +135,9 @@
             "answered" => map
                 .take("answered", faults, |node| self.time(node))
                 .map(Condition::AnsweredWithin),
-            "told" => {
-                let node = map.node("told")?;
-                let key = format!("{}.told", location.path);
+            "retry_after" => {
+                let node = map.node("retry_after")?;
+                let key = map.path("retry_after");
                 let read = self.read_bounds(location.file, &key, node, BoundUnit::Time, faults);
                 Some(Condition::RetryAfter(read.bounds))
             }
@@ -149,19 +153,19 @@
         faults: &mut Faults,
     ) -> Option<Condition> {
         let node = map.node(kind)?;
-        let key = format!("{}.{kind}", location.path);
+        let key = map.path(kind);
         let HostBounds { bounds, host } =
             self.read_bounds(location.file, &key, node, BoundUnit::Number, faults);
         let metric = match kind {
             "attempts" => Metric::Attempts,
-            "runs" => Metric::Executions,
-            "open" => Metric::AttemptsInFlight,
+            "executions" => Metric::Executions,
+            "concurrent_attempts" => Metric::AttemptsInFlight,
             "units" => Metric::ForwardedUnits,
-            "sent" => Metric::Forwarded,
+            "forwarded" => Metric::Forwarded,
             "served" => Metric::Served,
-            "refused" => Metric::Rejected,
+            "rejected" => Metric::Rejected,
             "failed" => Metric::Failed,
-            "crossings" => Metric::CrossZoneAttempts,
+            "cross_zone_attempts" => Metric::CrossZoneAttempts,
             _ => {
                 let Some(host) = host else {
                     let problem = "missing; name a node";
@@ -174,7 +178,7 @@
         Some(Condition::Metric { metric, bounds })
     }
 
-    /// An event in words.
+    /// Reads an event.
     fn event(&self, node: &Node, grace: Nanos) -> Result<RequestEvent, ValueError> {
         let words = text(node)?;
         if let Some(name) = words.strip_prefix("reaches node ") {
@@ -185,15 +189,21 @@
         let events = [
             ("reaches a draining node", reaches(HostState::Draining)),
             ("reaches a lost node", reaches(HostState::Gone)),
-            ("reaches a cold node", RequestEvent::ReachesWarmingUpHost),
-            ("leaves its room", RequestEvent::LeavesZone),
-            ("meets a node twice", RequestEvent::ReachesHostTwice),
-            ("is refused", RequestEvent::Rejected),
-            ("is refused untold", RequestEvent::RejectedWithoutRetryAfter),
+            (
+                "reaches a node in slow start",
+                RequestEvent::ReachesWarmingUpHost,
+            ),
+            ("leaves its zone", RequestEvent::LeavesZone),
+            ("reaches a node twice", RequestEvent::ReachesHostTwice),
+            ("is rejected", RequestEvent::Rejected),
+            (
+                "is rejected without retry_after",
+                RequestEvent::RejectedWithoutRetryAfter,
+            ),
             ("is served", RequestEvent::Served),
             ("fails", RequestEvent::Failed),
         ];
-        Ok(one_of(&words, &events)?)
+        Ok(one_of_renamed(&words, &events, aliases::REQUEST_EVENTS)?)
     }
 
     /// Bounds from `{at least: ..., at most: ...}` or from one value, which is the upper bound.
--- a/crates/expectations/src/compile/steps.rs
+++ b/crates/expectations/src/compile/steps.rs
@@ -1,23 +1,24 @@
 //! Steps: what happens, and when.
 
+use super::aliases;
 use super::given::counter_mode;
 use super::reading::Kinds;
 use super::Compiler;
 use crate::requirement::RequestKind;
-use quartzcleat_config::reader::text;
+use quartzcleat_config::reader::{one_of_renamed, text};
 use quartzcleat_config::tree::Node;
 use quartzcleat_config::{quantity, Faults, Reader};
 use quartzcleat_simulation::scenario::{ScenarioEvent, Step};
 use std::sync::Arc;
 
-/// The keys that tell what happens in a step.
+/// The keys that state the event of a step.
 const KINDS: Kinds = Kinds {
     keys: &[
         "request",
         "retry",
         "drain",
-        "die",
-        "vanish",
+        "crash",
+        "isolate",
         "start",
         "replace",
         "slow",
@@ -26,7 +27,7 @@
         "stop",
         "restart",
     ],
-    lacking: "nothing happens here",
+    lacking: "a step without an event",
     remedy: "write a step for each",
 };
 
@@ -41,14 +42,14 @@
         faults: &mut Faults,
     ) {
         let path = format!("when.{index}");
-        let mut map = Reader::new(file, &path, node, faults);
+        let mut map = Reader::new(file, &path, node, faults).with_aliases(aliases::STEP_KEYS);
         let moments = map.take("at", faults, |node| self.times(node));
         let moments = moments.unwrap_or_else(|| vec![0]);
         let reorder_group = map.take("order", faults, |node| match text(node)?.as_str() {
             "free" => Ok(0),
             _ => quantity::count(node, 1..=100).map(|group| group as u32),
         });
-        let kind = match KINDS.of(node) {
+        let kind = match KINDS.of(&map) {
             Ok(kind) => kind,
             Err(problem) => {
                 faults.add(file, node.place, path, problem);
@@ -88,8 +89,8 @@
     ) -> Option<ScenarioEvent> {
         let host_event: fn(usize) -> ScenarioEvent = match kind {
             "drain" => ScenarioEvent::DrainHost,
-            "die" => ScenarioEvent::KillHost,
-            "vanish" => ScenarioEvent::IsolateHost,
+            "crash" => ScenarioEvent::KillHost,
+            "isolate" => ScenarioEvent::IsolateHost,
             "start" => ScenarioEvent::StartHost,
             "replace" => return self.read_replacement(map, faults),
             "slow" => {
@@ -107,8 +108,10 @@
                 });
             }
             "discovery" => {
-                let keywords = [("silent", false), ("tells", true)];
-                let is_notifying = map.keyword("discovery", &keywords, faults);
+                let keywords = [("silent", false), ("notifying", true)];
+                let is_notifying = map.take("discovery", faults, |node| {
+                    one_of_renamed(&text(node)?, &keywords, aliases::DISCOVERY_MODES)
+                });
                 return is_notifying.map(ScenarioEvent::SetDiscovery);
             }
             "stop" => {
--- a/crates/expectations/src/error.rs
+++ b/crates/expectations/src/error.rs
@@ -45,7 +45,7 @@
     #[error("no request is marked {name:?}")]
     UnknownMark { name: String },
     /// An event that cannot be demanded of every request.
-    #[error("says nothing of every request; use never")]
+    #[error("cannot be required of every request; use never")]
     NotForEveryRequest,
 }
 
--- a/crates/expectations/src/evaluation.rs
+++ b/crates/expectations/src/evaluation.rs
@@ -127,7 +127,7 @@
             violation: Violation {
                 at: violation.at,
                 request: violation.request,
-                description: format!("rule broken ({invariant}): {description}"),
+                description: format!("invariant violated ({invariant}): {description}"),
             },
         }
     })
@@ -189,7 +189,12 @@
             at_most: bounds.at_most.map(|bound| bound + tolerance),
             is_share: false,
         };
-        evaluate_each(delays, bounds, "told to come back after", Unit::Nanoseconds)
+        evaluate_each(
+            delays,
+            bounds,
+            "rejected with retry_after",
+            Unit::Nanoseconds,
+        )
     }
 }
 
@@ -222,9 +227,9 @@
     match answer {
         Answer::Served => "served".to_owned(),
         Answer::Failed => "failed".to_owned(),
-        Answer::Rejected(0) => "refused".to_owned(),
+        Answer::Rejected(0) => "rejected without retry_after".to_owned(),
         Answer::Rejected(retry_after) => {
-            format!("refused, to come back after {}", show_time(retry_after))
+            format!("rejected with retry_after {}", show_time(retry_after))
         }
     }
 }
--- a/crates/expectations/src/evaluation/events.rs
+++ b/crates/expectations/src/evaluation/events.rs
@@ -19,7 +19,7 @@
     first: Option<Occurrence>,
 }
 
-/// Whether an event happened to a request that must always have it, and how the opposite reads.
+/// Whether an event happened to a request that must always have it, and the description of the opposite.
 struct Expected {
     holds: bool,
     opposite: &'static str,
@@ -83,13 +83,13 @@
                 count: count(request, |attempt| {
                     attempt.known_hosts.has_warming_up || attempt.is_host_warming_up
                 }),
-                first: self.find_attempt(request, "which is cold", |attempt| {
+                first: self.find_attempt(request, "which is in slow start", |attempt| {
                     attempt.is_host_warming_up
                 }),
             },
             RequestEvent::ReachesHost(host) => Opportunities {
                 count: request.attempts.len() as u64,
-                first: self.find_attempt(request, "which it never may", |attempt| {
+                first: self.find_attempt(request, "which this requirement excludes", |attempt| {
                     attempt.host == *host
                 }),
             },
@@ -98,7 +98,7 @@
                     attempt.known_hosts.has_other_zone || attempt.is_cross_zone
                 }),
                 first: self
-                    .find_attempt(request, "in another room", |attempt| attempt.is_cross_zone),
+                    .find_attempt(request, "in another zone", |attempt| attempt.is_cross_zone),
             },
             RequestEvent::ReachesHostTwice => self.find_host_twice(request),
             RequestEvent::Rejected => {
@@ -134,7 +134,7 @@
             },
             HostState::Ready | HostState::Draining => Opportunities {
                 count: count(request, |attempt| attempt.known_hosts.has_draining),
-                first: self.find_attempt(request, "which it knew to drain", is_late),
+                first: self.find_attempt(request, "which it knew to be draining", is_late),
             },
         }
     }
@@ -198,26 +198,26 @@
     let mut attempts = request.attempts.iter();
     let (holds, opposite) = match event {
         RequestEvent::Served => (answer == Answer::Served, "not served"),
-        RequestEvent::Rejected => (matches!(answer, Answer::Rejected(_)), "not refused"),
+        RequestEvent::Rejected => (matches!(answer, Answer::Rejected(_)), "not rejected"),
         RequestEvent::RejectedWithoutRetryAfter => (
             answer == Answer::Rejected(0),
-            "not refused, or told when to come back",
+            "not rejected, or rejected with a retry_after",
         ),
         RequestEvent::Failed => (answer == Answer::Failed, "not failed"),
         RequestEvent::LeavesZone => (
             attempts.all(|attempt| attempt.is_cross_zone),
-            "sent within its room",
+            "sent within its zone",
         ),
         RequestEvent::ReachesWarmingUpHost => (
             attempts.all(|attempt| attempt.is_host_warming_up),
-            "sent to a warm node",
+            "sent to a node that is not in slow start",
         ),
         RequestEvent::ReachesHost(host) => (
             attempts.all(|attempt| attempt.host == *host),
             "sent to another node",
         ),
         RequestEvent::ReachesUnavailableHost { .. } | RequestEvent::ReachesHostTwice => {
-            (false, "not to be demanded of every request")
+            (false, "not to be required of every request")
         }
     };
     Expected { holds, opposite }
--- a/crates/expectations/src/evaluation/metrics.rs
+++ b/crates/expectations/src/evaluation/metrics.rs
@@ -102,7 +102,7 @@
         });
         Evaluation {
             exercised,
-            ..evaluate_each(executions, bounds, "runs:", Unit::Number)
+            ..evaluate_each(executions, bounds, "executions:", Unit::Number)
         }
     }
 
@@ -131,7 +131,7 @@
         let is_exercised = bounds.at_most.is_none_or(|at_most| requests > at_most);
         Evaluation {
             exercised: u64::from(is_exercised),
-            ..evaluate_each(values, bounds, "attempts out at once:", Unit::Number)
+            ..evaluate_each(values, bounds, "concurrent attempts:", Unit::Number)
         }
     }
 
@@ -185,15 +185,15 @@
     /// The metric's name in descriptions.
     fn label(&self, metric: Metric) -> String {
         let label = match metric {
-            Metric::ForwardedUnits => "units sent on:",
-            Metric::Forwarded => "requests sent on:",
+            Metric::ForwardedUnits => "units forwarded:",
+            Metric::Forwarded => "requests forwarded:",
             Metric::Served => "served:",
-            Metric::Rejected => "refused:",
+            Metric::Rejected => "rejected:",
             Metric::Failed => "failed:",
-            Metric::CrossZoneAttempts => "attempts to another room:",
+            Metric::CrossZoneAttempts => "attempts in another zone:",
             Metric::HostShare(host) => {
                 let host = self.processes.host(host);
-                return format!("part of the attempts that went to {host}:");
+                return format!("share of the attempts at {host}:");
             }
             Metric::Attempts | Metric::Executions | Metric::AttemptsInFlight => "",
         };
--- a/crates/expectations/src/report.rs
+++ b/crates/expectations/src/report.rs
@@ -21,8 +21,8 @@
         Verdict::Held => "held",
         Verdict::Failed => "FAILED",
         Verdict::Untested => "UNTESTED",
-        Verdict::Vacuous => "SAYS NOTHING",
-        Verdict::Invalid => "FAULTY",
+        Verdict::Vacuous => "VACUOUS",
+        Verdict::Invalid => "INVALID",
     }
 }
 
@@ -33,7 +33,7 @@
         for (index, source) in line_set.iter().enumerate() {
             let joint = if index > 0 { "together with " } else { "" };
             lines.push(format!(
-                "      {joint}{}:{}: {}: {} (with {} the verdict turns)",
+                "      {joint}{}:{}: {}: {} (the verdict changes with {})",
                 source.file, source.line, source.key, source.value, source.alternative
             ));
         }
@@ -41,7 +41,7 @@
     let configurations = attribution.configurations;
     if attribution.line_sets.is_empty() && configurations > 0 {
         lines.push(format!(
-            "      none found; {configurations} other settings were tried"
+            "      none found among {configurations} other settings"
         ));
     }
     lines
--- a/crates/expectations/src/report/human.rs
+++ b/crates/expectations/src/report/human.rs
@@ -40,12 +40,12 @@
         lines.extend(failure_lines(result, failure));
     }
     if let Some(attribution) = &result.attribution {
-        lines.push("    behind it:".to_owned());
+        lines.push("    lines behind it:".to_owned());
         lines.extend(attribution_lines(attribution));
     }
     if let Some(difference) = &result.difference {
         lines.push(format!(
-            "    under the other settings: {}; the change that does it:",
+            "    under the other settings: {}; the changed lines behind it:",
             verdict_text(difference.compared)
         ));
         lines.extend(attribution_lines(&difference.attribution));
@@ -58,7 +58,7 @@
     let mut lines = vec![
         format!("    {file}:{}: {}", failure.line, failure.description),
         format!(
-            "    the shortest way there, of {} choices:",
+            "    the shortest run found, from one of {} choices:",
             failure.choices
         ),
     ];
@@ -69,7 +69,7 @@
         path_text(&failure.path)
     ));
     if failure.attribution.configurations > 0 {
-        lines.push("    behind it:".to_owned());
+        lines.push("    lines behind it:".to_owned());
         lines.extend(attribution_lines(&failure.attribution));
     }
     lines
@@ -86,15 +86,15 @@
 
 fn exploration_text(counts: &ExplorationCounts) -> String {
     let extent = if counts.is_exhaustive {
-        "all ways".to_owned()
+        "exhaustive".to_owned()
     } else {
         format!(
-            "all ways to {} choices, {} random walks",
+            "exhaustive to {} choices, then {} random walks",
             counts.depth, counts.random_walks
         )
     };
     format!(
-        "{} plays, {} states, {extent}; tested {} times",
+        "{} runs, {} states, {extent}; exercised {} times",
         counts.runs, counts.states, counts.exercised
     )
 }
@@ -110,7 +110,7 @@
     let runs: u64 = results.iter().map(|result| result.explored.runs).sum();
     let states: u64 = results.iter().map(|result| result.explored.states).sum();
     format!(
-        "{} expectations: {} held, {} failed, {} untested, {} say nothing, {} faulty; {runs} plays, {states} states, {:.2} s",
+        "{} expectations: {} held, {} failed, {} untested, {} vacuous, {} invalid; {runs} runs, {states} states, {:.2} s",
         results.len(),
         count(Verdict::Held),
         count(Verdict::Failed),
--- a/crates/expectations/tests/expectations/main.rs
+++ b/crates/expectations/tests/expectations/main.rs
@@ -1,6 +1,7 @@
 //! Expectations from their text to their verdicts and reports.
 
 mod folder;
+mod former_names;
 
 use folder::{Folder, SETTINGS};
 use quartzcleat_expectations::check::FailureReport;
@@ -20,7 +21,7 @@
 
 const CAP: &str = "
   - name: no request gets more than four attempts
-    given: {attempts: [normal, busy, refused]}
+    given: {attempts: [normal, rejected, connection refused]}
     when:
       - {at: 0ms, request: bed-check, from: Amazigh}
     must:
@@ -179,7 +180,7 @@
     let checked = folder.check(
         "
   - name: a bed-check that no node takes never fails
-    given: {attempts: refused, nodes: [n1, n2]}
+    given: {attempts: connection refused, nodes: [n1, n2]}
     when:
       - {at: 0ms, request: bed-check, from: Azib}
     must:
@@ -233,7 +234,7 @@
         "e.yaml:11: given.discovery: -3s is not a time",
         "e.yaml:13: when.0.at: soon: \"soon\" is not known",
         "e.yaml:13: when.0.request: no class \"bed-hould\"; did you mean bed-hold?",
-        "e.yaml:15: must.0: demands nothing",
+        "e.yaml:15: must.0: a requirement without a condition",
         "e.yaml:20: must.0.served.at least: more than at most",
     ] {
         assert!(all.contains(part), "{part}\nnot in\n{all}");
--- a/src/cli/demo.rs
+++ b/src/cli/demo.rs
@@ -70,7 +70,9 @@
         ));
         match judgement.failure {
             None => {
-                super::print("Every request got one final answer in time; no rule was broken.\n");
+                super::print(
+                    "Every request got one final answer in time; no invariant was violated.\n",
+                );
                 ExitCode::SUCCESS
             }
             Some(failure) => {
--- a/src/cli/demo/table.rs
+++ b/src/cli/demo/table.rs
@@ -1,4 +1,4 @@
-//! The table of what happened in the demo.
+//! The table of the demo's events and requests.
 
 use quartzcleat_invariants::{Answer, Fact, Processes, Record};
 use std::collections::BTreeMap;
@@ -45,16 +45,16 @@
 
 /// The notes of a run and a table of its requests.
 pub(super) fn render(processes: &Processes, records: &[Record]) -> String {
-    let mut text = String::from("What happened:\n");
+    let mut text = String::from("Events:\n");
     text.push_str(&render_notes(records));
     text.push_str(&format!(
-        "\n{:24} {:10} {:>6} {:>8} {:>6} {:>8} {:>7} {:>10} {:>10}\n",
+        "\n{:24} {:10} {:>8} {:>8} {:>6} {:>8} {:>7} {:>10} {:>10}\n",
         "limiter",
         "class",
-        "asked",
+        "received",
         "attempts",
         "served",
-        "refused",
+        "rejected",
         "failed",
         "median ms",
         "95% ms"
@@ -62,7 +62,7 @@
     for (key, mut row) in count(records) {
         row.response_times.sort_unstable();
         text.push_str(&format!(
-            "{:24} {:10} {:>6} {:>8} {:>6} {:>8} {:>7} {:>10.1} {:>10.1}\n",
+            "{:24} {:10} {:>8} {:>8} {:>6} {:>8} {:>7} {:>10.1} {:>10.1}\n",
             processes.limiter(key.limiter),
             processes.classes[key.class],
             row.received,
--- a/src/cli/expect.rs
+++ b/src/cli/expect.rs
@@ -12,10 +12,11 @@
 /// Check expectations of routing, quotas and retries without traffic.
 ///
 /// Each expectation runs with the real decision engine in a simulation of the installation, through every order of
-/// events and every outcome that it leaves open: all ways to a depth, then random walks for the rest of the budget.
+/// events and every outcome that it leaves open: exhaustively to a depth, then by random walks for the rest of the
+/// budget.
 /// A failure is reported with the shortest timeline found, the command that replays it, and the lines of
-/// configuration behind it. An expectation that no run exercises does not hold, nor does one that holds whatever is
-/// changed of what it names.
+/// configuration behind it. An expectation that no run exercises does not hold, nor does a vacuous one: one that holds
+/// under every variation of its scenario.
 ///
 /// Exit code 0: all hold; 1: one does not; 2: a file cannot be used.
 #[derive(Debug, Args)]
@@ -26,8 +27,8 @@
     /// Other settings than the files name: YAML, or a limiter's JSON.
     #[arg(long, value_name = "FILE")]
     settings: Option<PathBuf>,
-    /// Check under these settings too; for each verdict that differs, show the smallest set of changed lines that
-    /// does it.
+    /// Check under these settings too; for each verdict that differs, show the smallest set of changed lines
+    /// that causes it.
     #[arg(long, value_name = "OLD")]
     against: Option<PathBuf>,
     /// Check a setting at two values and their middle: plans.guide.rate=1.2..2.1. May be given several times.
@@ -40,12 +41,12 @@
     #[arg(long, value_name = "NAME")]
     deployment: Option<String>,
     /// The most runs for each expectation.
-    #[arg(long, value_name = "N", default_value_t = Budget::default().max_runs)]
-    plays: u64,
+    #[arg(long, alias = "plays", value_name = "N", default_value_t = Budget::default().max_runs)]
+    runs: u64,
     /// The most events over all runs of an expectation.
     #[arg(long, value_name = "N", default_value_t = Budget::default().max_events)]
     events: u64,
-    /// The most choices to which all ways are tried.
+    /// The most choices to which the exploration is exhaustive.
     #[arg(long, value_name = "N", default_value_t = Budget::default().max_depth)]
     depth: usize,
     /// The seed of the random walks.
@@ -61,11 +62,11 @@
     #[arg(long, value_name = "CHOICES", value_delimiter = ',')]
     path: Option<Vec<usize>>,
     /// Do not look for the lines of configuration behind a failure.
-    #[arg(long)]
-    no_blame: bool,
-    /// Do not vary expectations that hold to see whether they say anything.
-    #[arg(long)]
-    no_vary: bool,
+    #[arg(long, alias = "no-blame")]
+    no_attribution: bool,
+    /// Do not vary expectations that hold to find vacuous ones.
+    #[arg(long, alias = "no-vary")]
+    no_vacuity: bool,
     /// Show those that hold, too.
     #[arg(long, short)]
     verbose: bool,
@@ -136,13 +137,13 @@
             name_filter: self.only,
             deployment: self.deployment,
             budget: Budget {
-                max_runs: self.plays,
+                max_runs: self.runs,
                 max_events: self.events,
                 max_depth: self.depth,
                 seed: self.seed,
             },
-            attribute_sources: !self.no_blame,
-            check_vacuity: !self.no_vary,
+            attribute_sources: !self.no_attribution,
+            check_vacuity: !self.no_vacuity,
             jobs: self.jobs,
             replay: self.path,
         }
--- a/src/cli/live/report.rs
+++ b/src/cli/live/report.rs
@@ -52,7 +52,7 @@
             self.comparisons.iter().filter(is_counted).count()
         };
         lines.push(format!(
-            "{} live plays: {} agree with the world's verdict, {} in every count too; {:.1} s",
+            "{} live runs: {} agree with the simulation's verdict, {} of them in every count too; {:.1} s",
             self.comparisons.len(),
             count(|one| one.agrees()),
             count(|one| one.simulated == one.live),
@@ -83,12 +83,12 @@
             comparison.file, comparison.line, comparison.variant, comparison.name
         ),
         format!(
-            "    world {}: {}",
+            "    simulated {}: {}",
             verdict(comparison.simulated_failure.as_ref()),
             counts_text(&comparison.simulated)
         ),
         format!(
-            "    live  {}: {}",
+            "    live      {}: {}",
             verdict(comparison.live_failure.as_ref()),
             counts_text(&comparison.live)
         ),
@@ -112,7 +112,7 @@
         String::new()
     } else {
         format!(
-            "world {:?}, live {:?}, {:?}",
+            "simulated {:?}, live {:?}, {:?}",
             comparison.simulated_failure, comparison.live_failure, comparison.fault
         )
     };
@@ -129,7 +129,7 @@
 
 fn counts_text(counts: &Counts) -> String {
     format!(
-        "{} asked, {} attempts, {} served, {} refused, {} failed",
+        "{} received, {} attempts, {} served, {} rejected, {} failed",
         counts.received, counts.attempts, counts.served, counts.rejected, counts.failed
     )
 }
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -43,7 +43,8 @@
     /// Start limiters with fake services on loopback, run a short load and show what happened.
     Demo(demo::Demo),
     /// Add up the usage of each customer from a sink of exported usage records.
-    Use(used::Used),
+    #[command(alias = "use")]
+    Usage(used::Used),
 }
 
 /// The format of a report.
@@ -66,7 +67,7 @@
             Some(Command::Check(check)) => check.run(self.config.as_deref()),
             Some(Command::Expect(expect)) => expect.run(),
             Some(Command::Demo(demo)) => demo.run(),
-            Some(Command::Use(used)) => used.run(),
+            Some(Command::Usage(used)) => used.run(),
         }
     }
 }
--- a/src/cli/used.rs
+++ b/src/cli/used.rs
@@ -1,4 +1,4 @@
-//! `quartzcleat use`: the usage of each customer in a sink.
+//! `quartzcleat usage`: the usage of each customer in a sink.
 
 use super::{print, Format};
 use crate::net::usage_export::{read_sink, read_spools};
@@ -18,18 +18,18 @@
 
 const MILLIUNITS_PER_UNIT: f64 = 1_000.0;
 
-/// Add up what each customer used, from a sink of exported use.
+/// Add up the usage of each customer from a sink of exported usage records.
 ///
-/// A batch counts once, in whichever files of the sink it stands. Exits with 1 where numbers are missing or a batch
-/// stands there with two contents, with 2 where a folder cannot be read.
+/// A batch counts once, even if several files of the sink contain it. Exit code 1: batches are missing, or a batch has
+/// two contents; 2: a folder cannot be read.
 #[derive(Debug, Args)]
 pub struct Used {
     /// The sink's folder.
     sink: PathBuf,
-    /// Folders of spools whose rest is counted too: of limiters that are gone for good, or stand still.
+    /// Folders of spools whose remaining usage is counted too: those of limiters that are removed or stopped.
     #[arg(long)]
     spool: Vec<PathBuf>,
-    /// The form of the report.
+    /// The format of the report.
     #[arg(long, value_enum, default_value_t)]
     format: Format,
 }
@@ -108,11 +108,11 @@
     }
     let _ = writeln!(
         text,
-        "batches in two files: {}; lines cut off or rotted: {}",
+        "duplicate batches: {}; corrupt lines: {}",
         report.duplicates, report.corrupt_lines
     );
     add_batches(&mut text, "missing", &report.missing);
-    add_batches(&mut text, "of two contents", &report.conflicts);
+    add_batches(&mut text, "in conflict", &report.conflicts);
     text
 }
 
