--- a/crates/config/src/fault.rs
+++ b/crates/config/src/fault.rs
@@ -13,7 +13,7 @@
     pub place: Place,
     /// The key with those above it; empty where the fault concerns the whole file.
     pub key: String,
-    /// What is wrong, and the remedy.
+    /// The problem and its remedy.
     pub problem: String,
 }
 
--- a/crates/config/src/formula.rs
+++ b/crates/config/src/formula.rs
@@ -117,7 +117,7 @@
     Arithmetic {
         /// The expression, with the values in place of the names.
         expression: String,
-        /// What is wrong with it.
+        /// The fault of the expression.
         source: EvalexprError,
     },
     /// The result is infinite, or not a number.
--- a/crates/config/src/lease/error.rs
+++ b/crates/config/src/lease/error.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with the values of the section.
+//! The faults of the section's values.
 
 use crate::value::ValueError;
 use std::net::SocketAddr;
@@ -53,7 +53,7 @@
         limiter: String,
         /// Its line in the file.
         line: u32,
-        /// What is wrong with its address.
+        /// The fault of its address.
         source: Box<LeaseConfigError>,
     },
     /// Two limiters have one address.
--- a/crates/config/src/lease/section.rs
+++ b/crates/config/src/lease/section.rs
@@ -14,8 +14,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The shortest lease: a shorter one ends before its renewal succeeds on a busy machine. The longest is the time for which
-/// nobody carries a task out after its holder has failed.
+/// The shortest lease: a shorter one ends before its renewal succeeds on a busy machine. The longest one leaves a
+/// task without a holder for as long after its holder has failed.
 const DURATION_RANGE: RangeInclusive<Duration> =
     Duration::from_millis(100)..=Duration::from_secs(600);
 const DEFAULT_DURATION: Duration = Duration::from_secs(3);
--- a/crates/config/src/platform/decode.rs
+++ b/crates/config/src/platform/decode.rs
@@ -14,11 +14,11 @@
 pub struct PairFault {
     /// The path of the pair.
     pub path: String,
-    /// What is wrong with the value.
+    /// The fault of the value.
     pub problem: PairProblem,
 }
 
-/// What is wrong with the value of a pair.
+/// The fault of a pair's value.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PairProblem {
     /// It cannot be parsed as the type of its key.
--- a/crates/config/src/product.rs
+++ b/crates/config/src/product.rs
@@ -43,7 +43,7 @@
     Json,
 }
 
-/// What is logged, and how.
+/// The filter and the format of the log, and the limit on its lines.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogConfig {
     /// The filter, in tracing's directives.
--- a/crates/config/src/replacement.rs
+++ b/crates/config/src/replacement.rs
@@ -1,7 +1,7 @@
 //! Checks whether a configuration may replace the one in force.
 //!
 //! Every key of the current configuration must be in the new one. Otherwise a file that was truncated, half written, or lost
-//! a key would be accepted with defaults that nobody asked for.
+//! a key would be accepted with defaults that no operator chose.
 
 use crate::key_path::join;
 use serde_json::{Map, Value};
--- a/crates/config/src/value.rs
+++ b/crates/config/src/value.rs
@@ -55,7 +55,7 @@
     /// Something other than a number.
     #[error("{text} is not a number")]
     NotNumber {
-        /// The value as text, or what it is.
+        /// The value as text, or its kind.
         text: String,
     },
     /// A number that is not whole or not in the accepted range.
--- a/crates/expectations/src/attribution.rs
+++ b/crates/expectations/src/attribution.rs
@@ -1,5 +1,5 @@
-//! Attributes a verdict to lines of configuration by search: which keys, changed one by one and in groups, turn it.
-//! Nothing here knows what a key means.
+//! Attributes a verdict to lines of configuration by search: the keys that change it, one by one and in groups. The search
+//! does not use the meaning of a key.
 
 mod alternatives;
 mod minimize;
@@ -35,7 +35,7 @@
     /// Its value.
     #[serde(rename = "says")]
     pub value: String,
-    /// The value that turns the verdict.
+    /// The value that changes the verdict.
     #[serde(rename = "would")]
     pub alternative: String,
 }
@@ -43,7 +43,7 @@
 /// The lines of configuration behind a verdict.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct SourceAttribution {
-    /// Sets of lines. Each set, changed to its alternatives, turns the verdict.
+    /// Sets of lines. Each set, changed to its alternatives, changes the verdict.
     #[serde(rename = "sets")]
     pub line_sets: Vec<Vec<SourceLine>>,
     /// How many other configurations were tried.
@@ -51,7 +51,7 @@
     pub configurations: u64,
 }
 
-/// What is to be attributed.
+/// The expectation whose verdict is attributed.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Subject<'a> {
     pub(crate) suite: &'a Suite,
@@ -81,14 +81,14 @@
 struct Search<'a> {
     subject: Subject<'a>,
     base: &'a Deployment,
-    /// The verdict that is looked for.
+    /// The wanted verdict: whether the expectation holds.
     wanted: bool,
     configurations: u64,
 }
 
 impl Search<'_> {
-    /// Whether changes bring the verdict that is looked for.
-    fn turns(&mut self, changes: &[Change]) -> bool {
+    /// Whether the deployment has the wanted verdict with these changes.
+    fn has_wanted_verdict(&mut self, changes: &[Change]) -> bool {
         self.configurations += 1;
         self.base
             .with(changes)
@@ -97,13 +97,13 @@
             == Some(self.wanted)
     }
 
-    /// The keys each of which turns the verdict alone.
+    /// The keys each of which brings the wanted verdict alone.
     fn single_keys(&mut self, keys: &[Leaf<'_>]) -> Vec<Vec<SourceLine>> {
         let mut line_sets = Vec::new();
         for Leaf { path, node } in keys {
             let alternative = alternatives(self.base, path, node)
                 .into_iter()
-                .find(|value| self.turns(&[Change::set(path, value.clone())]));
+                .find(|value| self.has_wanted_verdict(&[Change::set(path, value.clone())]));
             if let Some(value) = alternative {
                 line_sets.push(vec![source_line(self.base, path, &show(path, &value))]);
             }
@@ -111,7 +111,7 @@
         line_sets
     }
 
-    /// The keys that turn the verdict together with others of their section.
+    /// The keys that bring the wanted verdict together with others of their section.
     fn sections(&mut self, keys: &[Leaf<'_>]) -> Vec<Vec<SourceLine>> {
         let mut sections: Vec<&str> = keys
             .iter()
@@ -129,7 +129,7 @@
         line_sets
     }
 
-    /// The smallest set of a section's keys that turns the verdict.
+    /// The smallest set of a section's keys that brings the wanted verdict.
     fn section(&mut self, members: &[&Leaf<'_>]) -> Option<Vec<SourceLine>> {
         for position in 0..SECTION_ALTERNATIVES {
             let changes: Vec<Change> = members
@@ -139,8 +139,8 @@
                     Some(Change::set(path, value))
                 })
                 .collect();
-            if changes.len() > 1 && self.turns(&changes) {
-                let smallest = minimize(changes, &mut |changes| self.turns(changes));
+            if changes.len() > 1 && self.has_wanted_verdict(&changes) {
+                let smallest = minimize(changes, &mut |changes| self.has_wanted_verdict(changes));
                 let line = |Change { path, value }: &Change| {
                     source_line(self.base, path, &show_value(path, value))
                 };
@@ -189,8 +189,8 @@
     };
     let all = changes_between(old, new);
     let mut line_sets = Vec::new();
-    if !all.is_empty() && search.turns(&all) {
-        let smallest = minimize(all, &mut |changes| search.turns(changes));
+    if !all.is_empty() && search.has_wanted_verdict(&all) {
+        let smallest = minimize(all, &mut |changes| search.has_wanted_verdict(changes));
         let line = |Change { path, .. }: &Change| {
             let old_value = old.tree.at(path).map(|node| node.content.clone());
             source_line(new, path, &show_value(path, &old_value))
--- a/crates/expectations/src/attribution/minimize.rs
+++ b/crates/expectations/src/attribution/minimize.rs
@@ -22,11 +22,11 @@
             parts = 2;
             continue;
         }
-        let rest = (0..chunks.len())
+        let remaining = (0..chunks.len())
             .map(|index| without(&chunks, index))
-            .find(|rest| !rest.is_empty() && has_effect(rest));
-        if let Some(rest) = rest {
-            changes = rest;
+            .find(|remaining| !remaining.is_empty() && has_effect(remaining));
+        if let Some(remaining) = remaining {
+            changes = remaining;
             parts = (parts - 1).max(2);
             continue;
         }
--- a/crates/expectations/src/check/vacuity.rs
+++ b/crates/expectations/src/check/vacuity.rs
@@ -71,7 +71,7 @@
         .as_ref()
         .is_some_and(|failure| failure.requirement == Some(index));
     let coverage = varied.coverage.get(index).copied().unwrap_or_default();
-    // The value of a requirement that an event never happens is 0 while it holds, whatever else changes.
+    // The value of a `never` requirement is 0 while it holds, so that it does not differ.
     let difference = (coverage.largest_value - original.largest_value).abs();
     has_failed
         || coverage.exercised == 0
--- a/crates/expectations/src/compile/given.rs
+++ b/crates/expectations/src/compile/given.rs
@@ -1,4 +1,4 @@
-//! What an expectation gives: partners, the counter, and what is left open to the search.
+//! Partners, the counter, and the choices that an expectation leaves to the search.
 
 use super::aliases;
 use super::reading::{index_of, keywords, members};
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Reads what is given for the run: the counter, what is left open, and the clients' retries.
+    /// Reads the counter, the choices that are left to the search, and the clients' retries.
     pub(super) fn read_given(
         &mut self,
         given: &mut Reader<'_>,
--- a/crates/expectations/src/evaluation.rs
+++ b/crates/expectations/src/evaluation.rs
@@ -1,7 +1,7 @@
 //! Evaluates the requirements of an expectation on the records of one run.
 //!
-//! An [`Evaluation`] also states how often the run exercised the requirement and the value that it came to, so that
-//! what was never tested is not taken for what holds.
+//! An [`Evaluation`] also states how often the run exercised the requirement and its value, so that a
+//! requirement that no run exercised does not count as one that holds.
 
 mod bounds;
 mod events;
@@ -26,14 +26,14 @@
     pub description: String,
 }
 
-/// How a run fares by one requirement.
+/// The result of a run for one requirement.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Evaluation {
     /// The first violation, where there is one.
     pub violation: Option<Violation>,
     /// How often the run exercised the requirement.
     pub exercised: u64,
-    /// The value that it came to: the largest, or the number of events.
+    /// Its value: the largest, or the number of events.
     pub value: f64,
 }
 
@@ -82,8 +82,8 @@
     }
 }
 
-/// Judges a run that was stopped early. What it shows was judged in the run that met its state before, so that it
-/// has no failure of its own.
+/// Judges a run that was stopped early. An earlier run went through the same state and was judged on all that follows, so
+/// that a stopped run has no failure of its own.
 pub(crate) fn judge_stopped(compiled: &CompiledExpectation, records: &[Record]) -> Judgement {
     Judgement {
         evaluations: evaluate_all(compiled, records, 0),
--- a/crates/expectations/src/explore.rs
+++ b/crates/expectations/src/explore.rs
@@ -93,13 +93,13 @@
 enum SearchEnd {
     Failed,
     BudgetSpent,
-    /// All ways were tried. The longest run had so many choices.
+    /// The search was exhaustive to its depth. The longest run had so many choices.
     Exhausted {
         longest: usize,
     },
 }
 
-/// Explores an expectation until it fails, all ways have been tried, or the budget is spent.
+/// Explores an expectation until it fails, the exploration is exhaustive, or the budget is spent.
 #[must_use]
 pub fn explore(compiled: &CompiledExpectation, budget: &Budget) -> Exploration {
     let mut explorer = Explorer {
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Tries all ways to a depth.
+    /// Searches exhaustively to a depth.
     fn search_to(&mut self, depth: usize) -> SearchEnd {
         let mut prefix = Vec::new();
         let mut visited = HashMap::new();
@@ -160,7 +160,7 @@
             let choices = search.choices();
             longest = longest.max(choices.len());
             self.exploration.stopped_runs += u64::from(!explored.run.is_complete);
-            if self.has_failed(explored, choices) {
+            if self.record_run(explored, choices) == RunOutcome::Failed {
                 break SearchEnd::Failed;
             }
             let Some(next_prefix) = next_prefix else {
@@ -183,14 +183,14 @@
             let explored = run(self.compiled, &mut walk);
             number += 1;
             self.exploration.random_walks += 1;
-            if self.has_failed(explored, walk.into_choices()) {
+            if self.record_run(explored, walk.into_choices()) == RunOutcome::Failed {
                 return;
             }
         }
     }
 
-    /// Adds a run to what was explored. Returns whether it failed.
-    fn has_failed(&mut self, explored: ExploredRun, choices: Vec<usize>) -> bool {
+    /// Adds a run to the exploration.
+    fn record_run(&mut self, explored: ExploredRun, choices: Vec<usize>) -> RunOutcome {
         self.exploration.runs += 1;
         self.exploration.events += explored.run.events;
         let coverage = &mut self.exploration.coverage;
@@ -203,13 +203,20 @@
             covered.largest_value = covered.largest_value.max(evaluation.value);
         }
         let Some(failure) = explored.into_failure(choices) else {
-            return false;
+            return RunOutcome::Held;
         };
         self.exploration.failure = Some(shorten(self.compiled, failure));
-        true
+        RunOutcome::Failed
     }
 }
 
+/// Whether the expectation holds in one run.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum RunOutcome {
+    Held,
+    Failed,
+}
+
 /// A run and its judgement.
 struct ExploredRun {
     run: SimulationRun,
--- a/crates/expectations/src/suite.rs
+++ b/crates/expectations/src/suite.rs
@@ -17,11 +17,11 @@
     pub line: u32,
     /// Its name, a sentence.
     pub name: String,
-    /// What is given, beside what the installation gives.
+    /// The facts that the expectation adds to the installation.
     pub given: Node,
-    /// What happens.
+    /// The steps.
     pub when: Node,
-    /// What must hold.
+    /// The requirements.
     pub must: Node,
 }
 
@@ -41,7 +41,7 @@
     pub file: Arc<str>,
     /// The file with the settings of the deployment that it is meant for.
     pub settings: PathBuf,
-    /// What is given to all expectations.
+    /// The installation, which all expectations share.
     pub installation: ParsedFile,
     /// The expectations.
     pub expectations: Vec<Expectation>,
--- a/crates/lease/src/acceptor.rs
+++ b/crates/lease/src/acceptor.rs
@@ -8,8 +8,8 @@
 #[cfg(test)]
 mod tests;
 
-/// The most tasks that an acceptor keeps. Messages about further tasks are ignored, so that task names which nobody uses
-/// cannot fill its memory.
+/// The most tasks that an acceptor keeps. Messages about further tasks are ignored, so that names of tasks that do not
+/// exist cannot fill its memory.
 const MAX_TASKS: usize = 256;
 
 /// A proposal that was accepted, until it expires on this process's clock.
--- a/crates/lease/src/message.rs
+++ b/crates/lease/src/message.rs
@@ -22,7 +22,7 @@
     pub round: u64,
     /// The proposer's index among all limiters.
     pub proposer: u32,
-    /// Which process of the proposer it is: tells responses to this process from those to an earlier one.
+    /// The incarnation of the proposer's process. It distinguishes responses to this process from those to an earlier one.
     pub incarnation: u32,
 }
 
--- a/crates/lease/src/timing.rs
+++ b/crates/lease/src/timing.rs
@@ -22,7 +22,7 @@
 
     /// How long an acceptor stays silent after its process has started.
     ///
-    /// An acceptor that restarts has forgotten what it accepted. A proposal that its previous process accepted in its
+    /// A restarted acceptor has lost the proposals that it accepted. A proposal that its previous process accepted in its
     /// last moment has expired by then, even on a slower clock.
     pub fn restart_silence(&self) -> Nanos {
         self.duration.saturating_add(self.max_drift())
--- a/crates/lease/tests/messages.rs
+++ b/crates/lease/tests/messages.rs
@@ -1,4 +1,4 @@
-//! Messages and envelopes decode to what was encoded, and anything else is rejected with its reason.
+//! Encoded messages and envelopes decode to the same values; other bytes are rejected with a reason.
 
 use proptest::prelude::*;
 use quartzcleat_lease::*;
--- a/crates/usage-export/src/sink.rs
+++ b/crates/usage-export/src/sink.rs
@@ -51,7 +51,7 @@
     unbatched: UsageByCustomer,
 }
 
-/// The sums of a sink, and what is wrong in it.
+/// The sums of a sink, and its faults.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SinkReport {
     /// Usage by customer.
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Sums up the usage and lists what is missing or in conflict.
+    /// Sums up the usage and lists batches that are missing or in conflict.
     pub fn report(&self) -> SinkReport {
         let mut report = SinkReport {
             usage: self.unbatched.clone(),
--- a/crates/usage-export/src/spool.rs
+++ b/crates/usage-export/src/spool.rs
@@ -1,7 +1,8 @@
 //! A limiter's spool.
 //!
-//! The usage of an attempt is written down before the attempt is sent, and again when it has ended. A process that is
-//! killed therefore leaves behind what it may have sent, and recovery counts attempts without an end as uncertain.
+//! The usage of an attempt is written down before the attempt is sent, and again when it has ended. A killed
+//! process therefore leaves a record of every attempt that it may have sent, and recovery counts attempts without an end as
+//! uncertain.
 
 use crate::{to_milliunits, Batch, Customer, Source, Usage, UsageByCustomer};
 use line::{Header, Line};
--- a/crates/usage-export/src/usage.rs
+++ b/crates/usage-export/src/usage.rs
@@ -46,7 +46,7 @@
 pub struct Source {
     /// The limiter's name, without spaces.
     pub name: String,
-    /// When the spool was created, in nanoseconds of Unix time. It tells the spools of one limiter apart.
+    /// When the spool was created, in nanoseconds of Unix time. It distinguishes the spools of one limiter.
     pub epoch: u64,
 }
 
--- a/src/cli/live.rs
+++ b/src/cli/live.rs
@@ -20,7 +20,7 @@
 
 /// On sockets the fakes do not know the order of what happens within this time.
 pub(super) const TIME_TOLERANCE: u64 = 50_000_000;
-/// The most variants of one scenario that are run: one for each option of what it leaves open.
+/// The most variants of one scenario that are run: one for each option that the scenario leaves open.
 const MAX_VARIANTS: usize = 3;
 /// Runs mostly wait, so that more of them than there are cores can run concurrently.
 const DEFAULT_JOBS: usize = 6;
