--- a/crates/config/src/deployment/names.rs
+++ b/crates/config/src/deployment/names.rs
@@ -35,7 +35,7 @@
     field("rate", "refill", |plan| Value::Number(plan.rate)),
     field("burst", "peakUnits", |plan| Value::Number(plan.burst)),
     field("max_concurrent_attempts", "concurrency", |plan| {
-        Value::Number(plan.open.into())
+        Value::Number(plan.max_concurrent_attempts.into())
     }),
     field("weight", "worthFactor", |plan| {
         Value::Number(plan.weight_factor)
@@ -82,41 +82,41 @@
 
 const LIMIT_FIELDS: &[Field<Settings>] = &[
     field("max_attempts", "limits.sendCap", |settings| {
-        Value::Number(settings.max_attempts.into())
+        Value::Number(settings.attempts.max_per_request.into())
     }),
-    field("max_open_requests", "limits.openCap", |settings| {
-        Value::Number(settings.max_open.into())
+    field("max_requests_in_progress", "limits.openCap", |settings| {
+        Value::Number(settings.attempts.max_requests_in_progress.into())
     }),
     field("max_retry_after", "limits.maxRetryAfterNs", |settings| {
-        Value::Time(settings.longest_retry_after)
+        Value::Time(settings.backoff.longest_retry_after)
     }),
     field("connect_timeout", "limits.connectTimeoutNs", |settings| {
-        Value::Time(settings.connect_timeout)
+        Value::Time(settings.attempts.connect_timeout)
     }),
 ];
 /// The former names of these fields.
 const LIMIT_ALIASES: &[Alias] = &[
     Alias::new("attempts", "max_attempts"),
-    Alias::new("open", "max_open_requests"),
+    Alias::new("open", "max_requests_in_progress"),
     Alias::new("come-back", "max_retry_after"),
     Alias::new("connect", "connect_timeout"),
 ];
 
 const SAFETY_FIELDS: &[Field<Settings>] = &[
     field("drain_grace", "safety.drainGraceNs", |settings| {
-        Value::Time(settings.drain_grace)
+        Value::Time(settings.grace.drain)
     }),
     field("slow_start_duration", "safety.warmAfterNs", |settings| {
-        Value::Time(settings.slow_start_duration)
+        Value::Time(settings.slow_start.duration)
     }),
     field("overload_duration", "safety.tipAfterNs", |settings| {
-        Value::Time(settings.overload_duration)
+        Value::Time(settings.slow_start.overload_duration)
     }),
-    field("slow_start_floor", "safety.coldFrom", |settings| {
-        Value::Number(settings.slow_start_floor)
+    field("initial_capacity", "safety.coldFrom", |settings| {
+        Value::Number(settings.slow_start.initial_capacity)
     }),
     field("overload_factor", "safety.overloadFactor", |settings| {
-        Value::Number(settings.overload_factor)
+        Value::Number(settings.slow_start.overload_factor)
     }),
 ];
 /// The former names of these fields.
@@ -124,19 +124,19 @@
     Alias::new("drain", "drain_grace"),
     Alias::new("warm", "slow_start_duration"),
     Alias::new("tip", "overload_duration"),
-    Alias::new("cold", "slow_start_floor"),
+    Alias::new("cold", "initial_capacity"),
     Alias::new("overload", "overload_factor"),
 ];
 
 const COUNTER_TIMEOUT: Field<Settings> =
     field("timeout", "familyInfo.counterTimeoutNs", |settings| {
-        Value::Time(settings.counter_timeout)
+        Value::Time(settings.counter.timeout)
     });
 const LARGEST_REQUEST: Field<Settings> = field("max", "familyInfo.unitsTop", |settings| {
-    Value::Number(settings.largest_request)
+    Value::Number(settings.units.largest_request)
 });
 const LIMITER_COUNT: Field<Settings> = field("limiters", "balancers", |settings| {
-    Value::Number(settings.limiter_count.into())
+    Value::Number(settings.limiters.count.into())
 });
 
 /// A part of a name that is unknown, with the parts that are known in its position.
--- a/crates/config/src/deployment/tests.rs
+++ b/crates/config/src/deployment/tests.rs
@@ -20,7 +20,7 @@
     let deployment = Deployment::read("day.yaml", DEPLOYMENT).expect("valid");
     assert_eq!(
         (
-            deployment.settings.tick,
+            deployment.settings.limiters.tick,
             deployment.settings.classes[0].deadline
         ),
         (4_000_000, 4_000_000_000)
@@ -98,7 +98,10 @@
         .with(&[Change::set("limits.sendCap", Content::Number(7.0))])
         .expect("valid");
     assert_eq!(
-        (changed.settings.max_attempts, changed.settings.plans.len()),
+        (
+            changed.settings.attempts.max_per_request,
+            changed.settings.plans.len()
+        ),
         (7, 1)
     );
     assert!(deployment
@@ -117,13 +120,13 @@
     ("classes.bed-hold.weight", "classes.bed-hold.worth"),
     ("classes.bed-hold.late_weight", "classes.bed-hold.late"),
     ("limits.max_attempts", "limits.attempts"),
-    ("limits.max_open_requests", "limits.open"),
+    ("limits.max_requests_in_progress", "limits.open"),
     ("limits.max_retry_after", "limits.come-back"),
     ("limits.connect_timeout", "limits.connect"),
     ("safety.drain_grace", "safety.drain"),
     ("safety.slow_start_duration", "safety.warm"),
     ("safety.overload_duration", "safety.tip"),
-    ("safety.slow_start_floor", "safety.cold"),
+    ("safety.initial_capacity", "safety.cold"),
     ("safety.overload_factor", "safety.overload"),
     ("units.max", "units.top"),
 ];
--- a/crates/expectations/src/compile/aliases.rs
+++ b/crates/expectations/src/compile/aliases.rs
@@ -26,7 +26,7 @@
 ];
 /// Keys of the facts on slow start.
 pub(super) const SLOW_START_KEYS: &[Alias] = &[
-    Alias::new("from", "floor"),
+    Alias::new("from", "initial_capacity"),
     Alias::new("warm", "duration"),
     Alias::new("tip", "overload_duration"),
     Alias::new("overload", "overload_factor"),
--- a/crates/expectations/src/compile/installation.rs
+++ b/crates/expectations/src/compile/installation.rs
@@ -6,7 +6,7 @@
 use quartzcleat_config::reader::{flag, list, one_of_renamed, text};
 use quartzcleat_config::tree::{Content, Entry, Node, Place};
 use quartzcleat_config::{quantity, Deployment, Faults, Reader};
-use quartzcleat_decision::api::{Class, Effect, Group, HostState, Nanos, Settings};
+use quartzcleat_decision::api::{Class, DedupScope, Effect, HostState, Nanos, Settings};
 use quartzcleat_invariants::{Process, Processes};
 use quartzcleat_simulation::scenario::{HostSetup, NetworkDelays};
 use std::collections::BTreeSet;
@@ -19,25 +19,31 @@
 #[derive(Clone, Copy)]
 struct Repeats {
     effect: Effect,
-    group: Group,
+    dedup_scope: DedupScope,
 }
 
 const REPEATS: [(&str, Repeats); 5] = [
-    ("idempotent", repeats(Effect::Retryable, Group::All)),
-    ("never", repeats(Effect::Unsafe, Group::Cell)),
-    ("deduplicated by all", repeats(Effect::Keyed, Group::All)),
+    ("idempotent", repeats(Effect::Idempotent, DedupScope::All)),
+    ("never", repeats(Effect::Unsafe, DedupScope::Cell)),
+    (
+        "deduplicated by all",
+        repeats(Effect::IdempotentWithKey, DedupScope::All),
+    ),
     (
         "deduplicated by the zone",
-        repeats(Effect::Keyed, Group::Zone),
+        repeats(Effect::IdempotentWithKey, DedupScope::Zone),
     ),
     (
         "deduplicated by the cell",
-        repeats(Effect::Keyed, Group::Cell),
+        repeats(Effect::IdempotentWithKey, DedupScope::Cell),
     ),
 ];
 
-const fn repeats(effect: Effect, group: Group) -> Repeats {
-    Repeats { effect, group }
+const fn repeats(effect: Effect, dedup_scope: DedupScope) -> Repeats {
+    Repeats {
+        effect,
+        dedup_scope,
+    }
 }
 
 /// The facts that an installation and an expectation add to the settings.
@@ -93,14 +99,14 @@
         let truth = &mut self.ground_truth;
         let mut map = Reader::new(file, "facts", node, faults).with_aliases(aliases::FACT_KEYS);
         replace(
-            &mut truth.drain_grace,
+            &mut truth.grace.drain,
             map.take("drain_grace", faults, quantity::time),
         );
         let max_attempts = map.take("max_attempts", faults, |node| {
             quantity::count(node, 1..=100)
         });
         replace(
-            &mut truth.max_attempts,
+            &mut truth.attempts.max_per_request,
             max_attempts.map(|count| count as u32),
         );
         if let Some(node) = map.node("slow_start") {
@@ -277,19 +283,19 @@
     let mut map =
         Reader::new(file, "facts.slow_start", node, faults).with_aliases(aliases::SLOW_START_KEYS);
     replace(
-        &mut truth.slow_start_floor,
-        map.take("floor", faults, quantity::share),
+        &mut truth.slow_start.initial_capacity,
+        map.take("initial_capacity", faults, quantity::share),
     );
     replace(
-        &mut truth.slow_start_duration,
+        &mut truth.slow_start.duration,
         map.take("duration", faults, quantity::time),
     );
     replace(
-        &mut truth.overload_duration,
+        &mut truth.slow_start.overload_duration,
         map.take("overload_duration", faults, quantity::time),
     );
     replace(
-        &mut truth.overload_factor,
+        &mut truth.slow_start.overload_factor,
         map.take("overload_factor", faults, quantity::number),
     );
     map.end(faults);
@@ -298,7 +304,7 @@
 fn read_class(map: &mut Reader<'_>, class: &mut Class, work: &mut Nanos, faults: &mut Faults) {
     if let Some(repeats) = map.take("repeats", faults, read_repeats) {
         class.effect = repeats.effect;
-        class.group = repeats.group;
+        class.dedup_scope = repeats.dedup_scope;
     }
     replace(
         &mut class.dedup_window,
--- a/crates/expectations/tests/expectations/former_names.rs
+++ b/crates/expectations/tests/expectations/former_names.rs
@@ -22,7 +22,7 @@
 facts:
   drain_grace: 1100ms
   max_attempts: 5
-  slow_start: {floor: 16%, duration: 19s, overload_factor: 4, overload_duration: 1600ms}
+  slow_start: {initial_capacity: 16%, duration: 19s, overload_factor: 4, overload_duration: 1600ms}
   classes:
     bed-check: {repeats: idempotent, work: 180ms}
     bed-hold: {repeats: deduplicated by the zone, dedup_window: 5s, work: 110ms}
@@ -76,7 +76,7 @@
     ("drain_grace: ", "drain: "),
     ("max_attempts: 5", "attempts: 5"),
     ("slow_start: {", "cold: {"),
-    ("floor: ", "from: "),
+    ("initial_capacity: ", "from: "),
     (" duration: 19s", " warm: 19s"),
     ("overload_factor: ", "overload: "),
     ("overload_duration: ", "tip: "),
