--- a/crates/config/src/lease.rs
+++ b/crates/config/src/lease.rs
@@ -1,4 +1,4 @@
-//! The section `lease` of our own file: acceptors and proposers of fleet-wide tasks, and how long a lease lasts.
+//! The section `lease` of the product file: acceptors and proposers of fleet-wide tasks, and how long a lease lasts.
 //!
 //! Without the section a limiter neither listens to other limiters nor sends to them.
 
--- a/src/cli/demo.rs
+++ b/src/cli/demo.rs
@@ -23,7 +23,7 @@
 /// The exit code where the demo could not run.
 const EXIT_NOT_RUN: u8 = 2;
 
-/// Start three limiters with fake services on loopback, run a short load and show what happened.
+/// Start three limiters with fake services on loopback, run a short load and show its events.
 ///
 /// The fakes (discovery, counter, six booking hosts, clients) run in this process, the limiters are processes of this
 /// program. It takes some 6 s; nothing else is needed and nothing is left behind. Exit code 0: every request got its
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -32,17 +32,14 @@
     command: Option<Command>,
 }
 
+/// The commands. The help of each one is the documentation of its type.
 #[derive(Debug, Subcommand)]
 enum Command {
     /// Serve; the same as no command.
     Serve,
-    /// Read configuration files and report all their faults.
     Check(check::Check),
-    /// Check expectations of routing, quotas and retries without traffic.
     Expect(Box<expect::Expect>),
-    /// Start limiters with fake services on loopback, run a short load and show what happened.
     Demo(demo::Demo),
-    /// Add up the usage of each customer from a sink of exported usage records.
     #[command(alias = "use")]
     Usage(used::Used),
 }
