--- a/crates/expectations/src/evaluation.rs
+++ b/crates/expectations/src/evaluation.rs
@@ -1,7 +1,7 @@
 //! Evaluates the requirements of an expectation on the records of one run.
 //!
-//! An [`Evaluation`] also states how often the run exercised the requirement and the value that it came to, so that
-//! what was never tested is not taken for what holds.
+//! An [`Evaluation`] also states how often the run exercised the requirement and its value, so that a
+//! requirement that no run exercised does not count as one that holds.
 
 mod bounds;
 mod events;
@@ -26,14 +26,14 @@
     pub description: String,
 }
 
-/// How a run fares by one requirement.
+/// The result of a run for one requirement.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Evaluation {
     /// The first violation, where there is one.
     pub violation: Option<Violation>,
     /// How often the run exercised the requirement.
     pub exercised: u64,
-    /// The value that it came to: the largest, or the number of events.
+    /// Its value: the largest, or the number of events.
     pub value: f64,
 }
 
@@ -82,8 +82,8 @@
     }
 }
 
-/// Judges a run that was stopped early. What it shows was judged in the run that met its state before, so that it
-/// has no failure of its own.
+/// Judges a run that was stopped early. An earlier run went through the same state and was judged on all that follows, so
+/// that a stopped run has no failure of its own.
 pub(crate) fn judge_stopped(compiled: &CompiledExpectation, records: &[Record]) -> Judgement {
     Judgement {
         evaluations: evaluate_all(compiled, records, 0),
@@ -127,7 +127,7 @@
             violation: Violation {
                 at: violation.at,
                 request: violation.request,
-                description: format!("rule broken ({invariant}): {description}"),
+                description: format!("invariant violated ({invariant}): {description}"),
             },
         }
     })
@@ -189,7 +189,12 @@
             at_most: bounds.at_most.map(|bound| bound + tolerance),
             is_share: false,
         };
-        evaluate_each(delays, bounds, "told to come back after", Unit::Nanoseconds)
+        evaluate_each(
+            delays,
+            bounds,
+            "rejected with retry_after",
+            Unit::Nanoseconds,
+        )
     }
 }
 
@@ -222,9 +227,9 @@
     match answer {
         Answer::Served => "served".to_owned(),
         Answer::Failed => "failed".to_owned(),
-        Answer::Rejected(0) => "refused".to_owned(),
+        Answer::Rejected(0) => "rejected without retry_after".to_owned(),
         Answer::Rejected(retry_after) => {
-            format!("refused, to come back after {}", show_time(retry_after))
+            format!("rejected with retry_after {}", show_time(retry_after))
         }
     }
 }
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -32,18 +32,16 @@
     command: Option<Command>,
 }
 
+/// The commands. The help of each one is the documentation of its type.
 #[derive(Debug, Subcommand)]
 enum Command {
     /// Serve; the same as no command.
     Serve,
-    /// Read configuration files and report all their faults.
     Check(check::Check),
-    /// Check expectations of routing, quotas and retries without traffic.
     Expect(Box<expect::Expect>),
-    /// Start limiters with fake services on loopback, run a short load and show what happened.
     Demo(demo::Demo),
-    /// Add up the usage of each customer from a sink of exported usage records.
-    Use(used::Used),
+    #[command(alias = "use")]
+    Usage(used::Used),
 }
 
 /// The format of a report.
@@ -66,7 +64,7 @@
             Some(Command::Check(check)) => check.run(self.config.as_deref()),
             Some(Command::Expect(expect)) => expect.run(),
             Some(Command::Demo(demo)) => demo.run(),
-            Some(Command::Use(used)) => used.run(),
+            Some(Command::Usage(used)) => used.run(),
         }
     }
 }
