--- a/crates/decision/src/quota/record.rs
+++ b/crates/decision/src/quota/record.rs
@@ -88,8 +88,9 @@
         (self.previous.credit + window.refill - previous_total).clamp(0.0, window.max_credit)
     }
 
-    /// Whether the sliding window estimate exceeds its limit: the credit, the refill so far, and the weighted
-    /// use of the previous window. With a fixed limit, a customer that spent its burst would get as much as an
+    /// Whether the sliding window estimate exceeds its limit (units): the credit, the refill so far, and the
+    /// weighted use of the previous window. In the article's terms: previous count times the overlap, plus the
+    /// current count, against a limit that follows the customer's use. With a fixed limit, a customer that spent its burst would get as much as an
     /// idle one.
     pub(super) fn is_over_quota(
         &self,
@@ -104,6 +105,13 @@
         window.estimate(previous_total, current_total) > limit
     }
 
+    /// Whether the counter's total shows that the customer is over its quota. Such a customer causes no calls
+    /// until the estimate has fallen.
+    pub(super) fn is_known_over_quota(&self, window: &Window) -> bool {
+        let total = self.current.total + self.current.unsent;
+        self.current.is_total_known && self.is_over_quota(self.previous.total, total, window)
+    }
+
     /// The highest total that the previous window may turn out to have: its credit and refill.
     pub(super) fn max_previous_total(&self, window: &Window) -> f64 {
         self.previous
--- a/crates/decision/src/quota/verdict.rs
+++ b/crates/decision/src/quota/verdict.rs
@@ -30,17 +30,28 @@
         let random_sample = context.random_fraction();
         let window = window_of(claim.plan, context);
         let sampling = self.sample_call(claim, &window, context);
-        let is_call_skipped = self.sampler.is_call_skipped(sampling, random_sample);
         let record = self.current_customer(claim.customer, &window, context.now());
-        // A customer whose total is over its limit causes no calls until the estimate has fallen.
-        let total = record.current.total + record.current.unsent;
-        let is_over_quota = record.is_over_quota(record.previous.total, total, &window);
-        if is_over_quota && record.current.is_total_known {
+        if record.is_known_over_quota(&window) {
             return Verdict::OverQuota;
         }
-        if is_call_skipped {
+        if self.sampler.is_call_skipped(sampling, random_sample) {
             return self.judge_locally(claim, context);
         }
+        self.charge(id, claim, sampling, &window, context);
+        context.set_timer(Timer::CounterWait { id }, timeout);
+        Verdict::AwaitingCounter
+    }
+
+    /// Adds a request's units to its customer's count, together with amounts that no call has included yet.
+    fn charge(
+        &mut self,
+        id: RequestId,
+        claim: &mut QuotaClaim,
+        sampling: CallSampling,
+        window: &Window,
+        context: &mut Context,
+    ) {
+        let record = self.current_customer(claim.customer, window, context.now());
         let amount = sampling.weight * claim.units + record.current.take_unsent();
         record.current.pending += amount;
         let key = WindowKey {
@@ -51,9 +62,7 @@
             window: key.window,
             weight: sampling.weight,
         });
-        self.call_counter(key, amount, Some(id), &window, context);
-        context.set_timer(Timer::CounterWait { id }, timeout);
-        Verdict::AwaitingCounter
+        self.call_counter(key, amount, Some(id), window, context);
     }
 
     /// Records a request's need and samples whether it calls the counter.
--- a/crates/decision/src/quota/window.rs
+++ b/crates/decision/src/quota/window.rs
@@ -55,7 +55,7 @@
         self.length - self.elapsed
     }
 
-    /// How long a count of the window `index` is kept: to the end of the window after it.
+    /// How long a count of the window `index` lives at the counter: to the end of the window after it.
     pub(super) fn lifetime_of_count(&self, index: u64) -> Nanos {
         let now = self.index * self.length + self.elapsed;
         let end = (index + 2).saturating_mul(self.length);
--- a/crates/decision/src/snapshot/data.rs
+++ b/crates/decision/src/snapshot/data.rs
@@ -52,11 +52,11 @@
 pub struct AdmissionSnapshot {
     /// Part of the requests that is admitted.
     pub ratio: f64,
-    /// Mean answer time as a part of the latency objective.
+    /// Mean answer time as a multiple of the latency objective.
     pub mean_objective_ratio: f64,
     /// Time of the last answer.
     pub measured_at: Nanos,
-    /// Mean answer time of successful attempts, as a part of the objective.
+    /// Mean answer time of successful attempts, as a multiple of the objective.
     pub success_objective_ratio: f64,
 }
 impl_array_form!(AdmissionSnapshot {
@@ -151,7 +151,7 @@
     /// Credit at the start of the previous window, in units.
     #[serde(default, rename = "store_before")]
     pub previous_credit: f64,
-    /// Units requested through this limiter, which fade with time, and when the last request came.
+    /// Units requested through this limiter, which decay with time, and when the last request came.
     #[serde(rename = "seen")]
     pub recent_units: TimedUnits,
 }
