--- a/crates/config/src/deployment/tests.rs
+++ b/crates/config/src/deployment/tests.rs
@@ -131,6 +131,25 @@
     ("units.max", "units.top"),
 ];
 
+#[test]
+fn pages_list_every_former_and_present_name_of_a_setting() {
+    let changelog = include_str!("../../../../CHANGELOG.md");
+    let page = include_str!("../../../../docs/expectations.md");
+    for (present, former) in RENAMED {
+        let name = |path: &'static str| path.rsplit('.').next().unwrap_or_default();
+        for name in [name(present), name(former)] {
+            assert!(
+                changelog.contains(&format!("`{name}`")),
+                "CHANGELOG.md: {name}"
+            );
+        }
+        assert!(
+            page.contains(name(present)),
+            "docs/expectations.md: {present}"
+        );
+    }
+}
+
 #[test]
 fn former_names_of_settings_are_accepted() {
     let deployment = Deployment::read("day.yaml", DEPLOYMENT).expect("valid");
--- a/crates/config/src/lease/tests.rs
+++ b/crates/config/src/lease/tests.rs
@@ -172,6 +172,24 @@
     ),
 ];
 
+#[test]
+fn pages_list_every_former_and_present_key() {
+    let changelog = include_str!("../../../../CHANGELOG.md");
+    let page = include_str!("../../../../docs/leases.md");
+    for (present, former) in RENAMED {
+        let key = |text: &'static str| text.trim().split(':').next().unwrap_or_default();
+        for key in [key(present), key(former)] {
+            let is_listed = ["`lease.", "`"]
+                .iter()
+                .any(|prefix| changelog.contains(&format!("{prefix}{key}`")));
+            assert!(is_listed, "CHANGELOG.md: {key}");
+        }
+        // The scheduled crash is for tests only and has its line in docs/trials.md.
+        let is_explained = page.contains(key(present)) || key(present) == "crash";
+        assert!(is_explained, "docs/leases.md: {present}");
+    }
+}
+
 #[test]
 fn former_names_of_keys_are_accepted() {
     let complete = VALID.replace(
--- a/crates/expectations/src/compile/aliases.rs
+++ b/crates/expectations/src/compile/aliases.rs
@@ -2,6 +2,9 @@
 
 use quartzcleat_config::reader::Alias;
 
+#[cfg(test)]
+mod tests;
+
 /// Keys of an installation's file.
 pub(super) const INSTALLATION_KEYS: &[Alias] =
     &[Alias::new("rooms", "zones"), Alias::new("net", "network")];
--- a/crates/fault-injection/src/scenario/tests.rs
+++ b/crates/fault-injection/src/scenario/tests.rs
@@ -59,6 +59,19 @@
     (" duration", " lasts"),
 ];
 
+#[test]
+fn pages_list_every_former_and_present_key() {
+    let changelog = include_str!("../../../../CHANGELOG.md");
+    let page = include_str!("../../../../docs/trials.md");
+    for (present, former) in RENAMED {
+        let quoted = |key: &str| format!("`{}`", key.trim());
+        for key in [present, former] {
+            assert!(changelog.contains(&quoted(key)), "CHANGELOG.md: {key}");
+        }
+        assert!(page.contains(&quoted(present)), "docs/trials.md: {present}");
+    }
+}
+
 #[test]
 fn former_names_of_keys_are_accepted() {
     let scenario = Scenario::read("present.yaml", SCENARIO).expect("the scenario is valid");
