--- a/crates/expectations/src/compile.rs
+++ b/crates/expectations/src/compile.rs
@@ -2,6 +2,7 @@
 //! force, and the result is a scenario for the simulation with requirements on its records.
 
 mod aliases;
+mod facts;
 mod given;
 mod installation;
 mod reading;
--- a/crates/expectations/src/compile/installation.rs
+++ b/crates/expectations/src/compile/installation.rs
@@ -1,12 +1,11 @@
-//! The installation: zones, limiters, delays, hosts, and the facts that no setting changes.
+//! The installation: zones, limiters, delays and hosts. Its facts are read in [`facts`](super::facts).
 
 use super::aliases;
-use super::reading::{index_of, index_of_name, index_of_process, members};
-use crate::error::ValueError;
-use quartzcleat_config::reader::{flag, list, one_of_renamed, text};
+use super::reading::{index_of, index_of_process, members};
+use quartzcleat_config::reader::{flag, list};
 use quartzcleat_config::tree::{Content, Entry, Node, Place};
 use quartzcleat_config::{quantity, Deployment, Faults, Reader};
-use quartzcleat_decision::api::{Class, DedupScope, Effect, HostState, Nanos, Settings};
+use quartzcleat_decision::api::{HostState, Nanos, Settings};
 use quartzcleat_invariants::{Process, Processes};
 use quartzcleat_simulation::scenario::{HostSetup, NetworkDelays};
 use std::collections::BTreeSet;
@@ -15,37 +14,6 @@
 /// The work of a request where the installation states none for its class.
 const DEFAULT_WORK: Nanos = 100_000_000;
 
-/// How the hosts treat repeats of a class's requests.
-#[derive(Clone, Copy)]
-struct Repeats {
-    effect: Effect,
-    dedup_scope: DedupScope,
-}
-
-const REPEATS: [(&str, Repeats); 5] = [
-    ("idempotent", repeats(Effect::Idempotent, DedupScope::All)),
-    ("never", repeats(Effect::Unsafe, DedupScope::Cell)),
-    (
-        "deduplicated by all",
-        repeats(Effect::IdempotentWithKey, DedupScope::All),
-    ),
-    (
-        "deduplicated by the zone",
-        repeats(Effect::IdempotentWithKey, DedupScope::Zone),
-    ),
-    (
-        "deduplicated by the cell",
-        repeats(Effect::IdempotentWithKey, DedupScope::Cell),
-    ),
-];
-
-const fn repeats(effect: Effect, dedup_scope: DedupScope) -> Repeats {
-    Repeats {
-        effect,
-        dedup_scope,
-    }
-}
-
 /// The facts that an installation and an expectation add to the settings.
 pub(super) struct Installation {
     pub(super) processes: Processes,
@@ -94,52 +62,6 @@
         self.read_facts(given.node("facts"), file, faults);
     }
 
-    fn read_facts(&mut self, node: Option<&Node>, file: &Arc<str>, faults: &mut Faults) {
-        let Some(node) = node else { return };
-        let truth = &mut self.ground_truth;
-        let mut map = Reader::new(file, "facts", node, faults).with_aliases(aliases::FACT_KEYS);
-        replace(
-            &mut truth.grace.drain,
-            map.take("drain_grace", faults, quantity::time),
-        );
-        let max_attempts = map.take("max_attempts", faults, |node| {
-            quantity::count(node, 1..=100)
-        });
-        replace(
-            &mut truth.attempts.max_per_request,
-            max_attempts.map(|count| count as u32),
-        );
-        if let Some(node) = map.node("slow_start") {
-            read_slow_start(truth, node, file, faults);
-        }
-        if let Some(node) = map.node("classes") {
-            self.read_class_facts(node, file, faults);
-        }
-        map.end(faults);
-    }
-
-    fn read_class_facts(&mut self, node: &Node, file: &Arc<str>, faults: &mut Faults) {
-        let names = &self.processes.classes;
-        for Entry {
-            key: name,
-            place,
-            value: node,
-        } in members(node, file, "facts.classes", faults)
-        {
-            let path = format!("facts.classes.{name}");
-            match index_of_name(name, names, "class") {
-                Ok(index) => {
-                    let class = &mut self.ground_truth.classes[index];
-                    let mut map = Reader::new(file, &path, node, faults)
-                        .with_aliases(aliases::CLASS_FACT_KEYS);
-                    read_class(&mut map, class, &mut self.work[index], faults);
-                    map.end(faults);
-                }
-                Err(problem) => faults.add(file, *place, path, problem),
-            }
-        }
-    }
-
     /// Hosts: a map of names and the differences from a default host, or a list of the only hosts that are present.
     fn read_hosts(&mut self, node: Option<&Node>, file: &Arc<str>, faults: &mut Faults) {
         let Some(node) = node else { return };
@@ -198,7 +120,7 @@
 }
 
 /// Replaces a value, where there is a new one.
-fn replace<T>(target: &mut T, value: Option<T>) {
+pub(super) fn replace<T>(target: &mut T, value: Option<T>) {
     if let Some(value) = value {
         *target = value;
     }
@@ -279,44 +201,6 @@
     network
 }
 
-fn read_slow_start(truth: &mut Settings, node: &Node, file: &Arc<str>, faults: &mut Faults) {
-    let mut map =
-        Reader::new(file, "facts.slow_start", node, faults).with_aliases(aliases::SLOW_START_KEYS);
-    replace(
-        &mut truth.slow_start.initial_capacity,
-        map.take("initial_capacity", faults, quantity::share),
-    );
-    replace(
-        &mut truth.slow_start.duration,
-        map.take("duration", faults, quantity::time),
-    );
-    replace(
-        &mut truth.slow_start.overload_duration,
-        map.take("overload_duration", faults, quantity::time),
-    );
-    replace(
-        &mut truth.slow_start.overload_factor,
-        map.take("overload_factor", faults, quantity::number),
-    );
-    map.end(faults);
-}
-
-fn read_class(map: &mut Reader<'_>, class: &mut Class, work: &mut Nanos, faults: &mut Faults) {
-    if let Some(repeats) = map.take("repeats", faults, read_repeats) {
-        class.effect = repeats.effect;
-        class.dedup_scope = repeats.dedup_scope;
-    }
-    replace(
-        &mut class.dedup_window,
-        map.take("dedup_window", faults, quantity::time),
-    );
-    replace(work, map.take("work", faults, quantity::time));
-}
-
-fn read_repeats(node: &Node) -> Result<Repeats, ValueError> {
-    Ok(one_of_renamed(&text(node)?, &REPEATS, aliases::REPEATS)?)
-}
-
 fn read_host_setup(map: &mut Reader<'_>, setup: &mut HostSetup, faults: &mut Faults) {
     let states = [
         ("serving", HostState::Ready),
