--- a/crates/config/src/deployment/tests.rs
+++ b/crates/config/src/deployment/tests.rs
@@ -16,7 +16,7 @@
 ";
 
 #[test]
-fn settings_are_read_with_units_and_names() {
+fn settings_are_read_with_units_and_lines() {
     let deployment = Deployment::read("day.yaml", DEPLOYMENT).expect("valid");
     assert_eq!(
         (
@@ -25,13 +25,18 @@
         ),
         (4_000_000, 4_000_000_000)
     );
+    assert_eq!(deployment.line("contracts.0.peakUnits"), 7);
+}
+
+#[test]
+fn names_of_settings_are_resolved_and_misspelled_ones_are_corrected() {
+    let deployment = Deployment::read("day.yaml", DEPLOYMENT).expect("valid");
     assert_eq!(
         deployment
             .resolve("plans.guide.burst")
             .map(|setting| setting.value),
         Ok(8.0)
     );
-    assert_eq!(deployment.line("contracts.0.peakUnits"), 7);
     assert!(deployment
         .resolve("plans.gide.burst")
         .expect_err("a typing error")
@@ -41,6 +46,11 @@
         deployment.resolve("classes.bed-hold.aims").is_err()
             && deployment.resolve("nothing").is_err()
     );
+}
+
+#[test]
+fn settings_are_found_in_a_complete_configuration() {
+    let deployment = Deployment::read("day.yaml", DEPLOYMENT).expect("valid");
     let whole = format!(
         "{{\"name\": \"n\", \"settings\": {}}}",
         deployment.tree.to_json()
--- a/crates/config/src/lease/tests.rs
+++ b/crates/config/src/lease/tests.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn valid_section_is_read_and_is_optional() {
+fn valid_section_is_read() {
     let lease = read_lease(VALID);
     assert_eq!(
         (
@@ -23,8 +23,16 @@
         ),
         (3, 10, "beat")
     );
+}
+
+#[test]
+fn section_is_optional() {
     let without = Product::read("q.yaml", "metrics_interval: 1s\n").expect("the file is valid");
     assert_eq!(without.lease, None);
+}
+
+#[test]
+fn task_that_exports_usage_has_a_spool_and_a_sink() {
     let export = VALID.replace("target: 127.0.0.1:9", "export: {spool: /s, sink: /k}");
     assert_eq!(
         read_lease(&export).tasks[0].action,
@@ -33,6 +41,10 @@
             sink: "/k".into()
         }
     );
+}
+
+#[test]
+fn clock_fault_adds_up_its_directions() {
     let wrong = VALID.replace("2s", "2s\n  clock: {slow: 1.2%, ahead: 1s, behind: 3s}");
     let clock = read_lease(&wrong).clock_fault;
     assert_eq!(
