--- a/crates/expectations/src/compile/requirements.rs
+++ b/crates/expectations/src/compile/requirements.rs
@@ -11,6 +11,7 @@
 use quartzcleat_config::tree::{Content, Node};
 use quartzcleat_config::{quantity, Faults, Reader};
 use quartzcleat_decision::api::{HostState, Nanos};
+use quartzcleat_invariants::HostIndex;
 use std::sync::Arc;
 
 /// The keys that state the condition of a requirement.
@@ -46,7 +47,7 @@
 /// Bounds, and the host that a share is of, where one is named.
 struct HostBounds {
     bounds: Bounds,
-    host: Option<usize>,
+    host: Option<HostIndex>,
 }
 
 /// A requirement's place in its file.
@@ -183,7 +184,8 @@
         let words = text(node)?;
         if let Some(name) = words.strip_prefix("reaches node ") {
             let names = process_names(&self.processes.hosts);
-            return index_of_name(name, &names, "node").map(RequestEvent::ReachesHost);
+            return index_of_name(name, &names, "node")
+                .map(|host| RequestEvent::ReachesHost(HostIndex(host)));
         }
         let reaches = |state| RequestEvent::ReachesUnavailableHost { state, grace };
         let events = [
--- a/crates/expectations/src/history.rs
+++ b/crates/expectations/src/history.rs
@@ -4,8 +4,8 @@
 
 use crate::requirement::{RequestFilter, RequestKind};
 use builder::HistoryBuilder;
-use quartzcleat_decision::api::{HostState, Nanos, RequestId};
-use quartzcleat_invariants::{Answer, Processes, Record};
+use quartzcleat_decision::api::{ClassIndex, HostState, LimiterIndex, Nanos, RequestId};
+use quartzcleat_invariants::{Answer, HostIndex, PartnerIndex, Processes, Record};
 use std::collections::BTreeMap;
 
 /// A final answer and its time.
@@ -37,7 +37,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SentAttempt {
     pub(crate) at: Nanos,
-    pub(crate) host: usize,
+    pub(crate) host: HostIndex,
     pub(crate) is_host_warming_up: bool,
     pub(crate) is_cross_zone: bool,
     /// What the limiter knew of the host.
@@ -49,9 +49,9 @@
 #[derive(Clone, Debug)]
 pub(crate) struct RequestHistory {
     pub(crate) id: RequestId,
-    limiter: usize,
-    class: usize,
-    partner: usize,
+    limiter: LimiterIndex,
+    class: ClassIndex,
+    partner: PartnerIndex,
     kind: RequestKind,
     pub(crate) operation: u64,
     pub(crate) units: f64,
--- a/crates/expectations/src/history/builder.rs
+++ b/crates/expectations/src/history/builder.rs
@@ -2,15 +2,15 @@
 
 use super::{AnsweredAt, KnownHosts, KnownState, RequestHistory, RunHistory, SentAttempt};
 use crate::requirement::RequestKind;
-use quartzcleat_decision::api::{HostState, Nanos, Outcome, RequestId};
-use quartzcleat_invariants::{Fact, Processes, Record};
+use quartzcleat_decision::api::{HostState, LimiterIndex, Nanos, Outcome, RequestId};
+use quartzcleat_invariants::{Fact, HostIndex, Processes, Record};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A host from the view of a limiter.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct LimiterHost {
-    limiter: usize,
-    host: usize,
+    limiter: LimiterIndex,
+    host: HostIndex,
 }
 
 /// Gathers the history of a run.
@@ -21,7 +21,7 @@
     positions: BTreeMap<RequestId, usize>,
     operations: BTreeSet<u64>,
     known_states: BTreeMap<LimiterHost, KnownState>,
-    warming_up: BTreeSet<usize>,
+    warming_up: BTreeSet<HostIndex>,
 }
 
 impl<'a> HistoryBuilder<'a> {
@@ -137,7 +137,13 @@
         });
     }
 
-    fn learn_host_state(&mut self, at: Nanos, limiter: usize, host: usize, state: HostState) {
+    fn learn_host_state(
+        &mut self,
+        at: Nanos,
+        limiter: LimiterIndex,
+        host: HostIndex,
+        state: HostState,
+    ) {
         let key = LimiterHost { limiter, host };
         let known = self.known_states.get(&key).map(|known| known.state);
         if known != Some(state) {
@@ -149,9 +155,9 @@
     fn add_attempt(
         &mut self,
         at: Nanos,
-        limiter: usize,
+        limiter: LimiterIndex,
         request: RequestId,
-        host: usize,
+        host: HostIndex,
         is_host_warming_up: bool,
     ) {
         if is_host_warming_up {
@@ -173,18 +179,18 @@
         }
     }
 
-    fn is_cross_zone(&self, limiter: usize, host: usize) -> bool {
-        let host_zone = self.processes.hosts.get(host).map(|host| host.zone);
+    fn is_cross_zone(&self, limiter: LimiterIndex, host: HostIndex) -> bool {
+        let host_zone = self.processes.hosts.get(host.0).map(|host| host.zone);
         let own_zone = self
             .processes
             .limiters
-            .get(limiter)
+            .get(limiter.as_usize())
             .map(|limiter| limiter.zone);
         host_zone != own_zone
     }
 
-    fn known_hosts(&self, limiter: usize) -> KnownHosts {
-        let has = |state: HostState, is_meant: &dyn Fn(usize) -> bool| {
+    fn known_hosts(&self, limiter: LimiterIndex) -> KnownHosts {
+        let has = |state: HostState, is_meant: &dyn Fn(HostIndex) -> bool| {
             self.known_states.iter().any(|(key, known)| {
                 key.limiter == limiter && known.state == state && is_meant(key.host)
             })
--- a/crates/fakes/src/server/counter.rs
+++ b/crates/fakes/src/server/counter.rs
@@ -3,15 +3,14 @@
 
 use crate::context::Context;
 use crate::resp::CommandStream;
-use crate::task::accept_connections;
-use quartzcleat_decision::api::{Nanos, Outcome};
+use quartzcleat_decision::api::{LimiterIndex, Nanos, Outcome};
 use quartzcleat_simulation::counter::CounterReply;
 use quartzcleat_simulation::oracle::ChoicePoint;
 use quartzcleat_simulation::scenario::CounterCallOutcome;
 use std::io;
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::net::{TcpListener, TcpStream};
+use tokio::net::TcpStream;
 use tokio::time::sleep;
 
 const NANOS_PER_MS: Nanos = 1_000_000;
@@ -37,17 +36,10 @@
     }
 }
 
-/// Serves one limiter's connections until the listener fails.
-pub(crate) async fn serve(context: Rc<Context>, limiter: usize, listener: TcpListener) {
-    accept_connections(listener, |stream| {
-        serve_connection(context.clone(), limiter, stream)
-    })
-    .await;
-}
-
-async fn serve_connection(
+/// Serves one connection of a limiter.
+pub(crate) async fn serve_connection(
     context: Rc<Context>,
-    limiter: usize,
+    limiter: LimiterIndex,
     stream: TcpStream,
 ) -> io::Result<()> {
     let mut stream = CommandStream::new(stream);
@@ -74,7 +66,7 @@
 }
 
 /// The answer to a call; `None` where there never is one.
-async fn answer_call(context: &Context, limiter: usize, call: &Call<'_>) -> Option<String> {
+async fn answer_call(context: &Context, limiter: LimiterIndex, call: &Call<'_>) -> Option<String> {
     let number = context.counter.borrow_mut().next_call(limiter);
     let fates = &context.scenario.counter.call_outcomes;
     match context.choose(ChoicePoint::CounterCall, number, fates) {
--- a/src/net/discovery/tests.rs
+++ b/src/net/discovery/tests.rs
@@ -1,10 +1,12 @@
 //! Lists that are applied, maintenance above them, and a watch that is lost.
 
 use super::*;
-use crate::api::HostState;
+use crate::api::{Event, HostState, ListMode};
 use crate::net::task::spawn;
 use crate::net::tests::{next, with_limiter};
 use crate::net::Limiter;
+use quartzcleat_admin::MaintenanceChange;
+use std::rc::Rc;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::sleep;
@@ -21,7 +23,7 @@
 fn apply_list(client: &DiscoveryClient, version: u64, is_full: bool, name: &str, state: &str) {
     let text = list_text(version, is_full, name, state);
     let json = serde_json::from_str(&text).expect("JSON");
-    let list = client.endpoints.borrow_mut().parse(&json);
+    let list = client.endpoints().borrow_mut().parse(&json);
     client.apply(&list.expect("a list"));
 }
 
@@ -104,7 +106,7 @@
         for round in 0..200 {
             let now = 1_000 * round;
             let disabled = maintenance.borrow_mut().disable("s-1", now);
-            assert_eq!(disabled, Ok(true));
+            assert_eq!(disabled, Ok(MaintenanceChange::Changed));
             client.reapply_maintenance("s-1");
             assert_eq!(state_for_engine(), HostState::Draining, "at the order");
             let lists = [("SERVING", false), ("DRAINING", false), ("SERVING", true)];
@@ -113,7 +115,7 @@
                 assert_eq!(state_for_engine(), HostState::Draining);
             }
             let enabled = maintenance.borrow_mut().enable("s-1", now + 500);
-            assert_eq!(enabled, Ok(true));
+            assert_eq!(enabled, Ok(MaintenanceChange::Changed));
             client.reapply_maintenance("s-1");
             assert_eq!(state_for_engine(), HostState::Ready);
         }
@@ -132,7 +134,7 @@
         }
         sleep(limiter.limits().upstream.drain_grace.get()).await;
         apply_list(client, 200, false, "s-50", "SERVING");
-        let counts = client.endpoints.borrow().counts();
+        let counts = client.endpoints().borrow().counts();
         assert_eq!(counts, (1, 1, 1));
     });
 }
--- a/src/net/stages/accept.rs
+++ b/src/net/stages/accept.rs
@@ -1,12 +1,13 @@
 //! First stage: a request from a frontend is opened, or answered at once where there is no capacity for it.
 
-use super::{admit, Pipeline};
+use super::admit;
+use super::pipeline::Pipeline;
 use crate::net::engine::{Answer, Frontend, ReplyTo, Request};
 use crate::net::shutdown::Phase;
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// Accepts a request. Past the limits of what the process holds it is rejected at once.
+/// Accepts a request. Past the limits on open requests and buffered bytes it is rejected at once.
 pub fn accept(
     pipeline: &Rc<Pipeline>,
     frontend: Rc<dyn Frontend>,
--- a/src/net/stages/dispatch.rs
+++ b/src/net/stages/dispatch.rs
@@ -1,7 +1,8 @@
-//! Fourth stage: a call gets a connection, the host's idle one that was used last or a new one.
+//! Fourth stage: a call gets a connection, the idle one to its host that was used last or a new one.
 
-use super::attempt::{self, CallEnd};
-use super::{complete, Pipeline};
+use super::call_end::CallEnd;
+use super::pipeline::Pipeline;
+use super::{attempt, complete};
 use crate::api::{HostId, Outcome};
 use crate::net::engine::{Cancellation, HostCall, HostCommand};
 use crate::net::resp::codec;
@@ -43,18 +44,20 @@
         return complete::complete(&pipeline, &call, Outcome::ConnectFailed.into());
     };
     let connected = connect(&pipeline, &call).await;
-    if let Some(metrics) = &pipeline.metrics {
-        metrics
-            .borrow_mut()
-            .record_connect(call.host, connected.is_ok());
-    }
     let mut connection = match connected {
-        Ok(connection) => connection,
-        Err(outcome) => return complete::complete(&pipeline, &call, outcome.into()),
+        Ok(connection) => {
+            pipeline.upstream.record_connect(call.host);
+            connection
+        }
+        Err(outcome) => {
+            pipeline.upstream.record_connect_failure(call.host);
+            return complete::complete(&pipeline, &call, outcome.into());
+        }
     };
     loop {
         let CallEnd { result, reusable } = attempt::run(&pipeline, &mut connection, &call).await;
-        // The connection is idle already when the engine is told, so that what the engine sends next finds it.
+        // The connection is idle before the engine handles the end of the call, so that the engine's next call finds
+        // it.
         let idle_place = if reusable {
             pipeline.upstream.add_idle(call.host, connection.peer)
         } else {
