--- a/crates/bench/src/module/damages.rs
+++ b/crates/bench/src/module/damages.rs
@@ -165,7 +165,7 @@
     },
     Damage {
         file: "lifecycle/arrival.rs",
-        original: "Verdict::OverQuota => self.quotas.time_to_next_window(&request.claim, context),",
+        original: "Verdict::OverQuota => time_to_next_window(&request.claim, context),",
         damaged: "Verdict::OverQuota => 0,",
         description: "over the quota without retry_after",
     },
--- a/crates/decision/src/lifecycle/arrival.rs
+++ b/crates/decision/src/lifecycle/arrival.rs
@@ -1,5 +1,6 @@
 //! Arrival of a request: load shedding and the verdict of its customer's quota.
 
+use super::release::retry_after;
 use super::request::{PendingRequest, RequestState};
 use super::RequestLifecycle;
 use crate::api::{
@@ -7,7 +8,9 @@
 };
 use crate::context::Context;
 use crate::hosts::HostRequirements;
-use crate::quota::{Correction, CounterReply, QuotaClaim, Verdict, VerdictBasis};
+use crate::quota::{
+    time_to_next_window, Correction, CounterReply, QuotaClaim, Verdict, VerdictBasis,
+};
 
 /// Part of its latency objective that a request waits for the counter at most.
 const COUNTER_WAIT_OBJECTIVE_FRACTION: f64 = 0.1;
@@ -151,9 +154,9 @@
         let retry_after = match verdict {
             Verdict::AwaitingCounter => return,
             Verdict::Pass => return self.admit(id, context),
-            Verdict::OverQuota => self.quotas.time_to_next_window(&request.claim, context),
+            Verdict::OverQuota => time_to_next_window(&request.claim, context),
             // Other limiters may still have a share: a retry may be in time.
-            Verdict::OverLocalShare => self.retry_after(&request, context),
+            Verdict::OverLocalShare => retry_after(&request, context),
         };
         self.refund(&request.claim, context);
         if self.is_worth_an_idle_host(&request, context) {
--- a/crates/decision/src/lifecycle/completion.rs
+++ b/crates/decision/src/lifecycle/completion.rs
@@ -1,6 +1,7 @@
 //! Completion: the outcomes of attempts, and the final answer of a request.
 
 use super::attempt::{AttemptEnd, AttemptKey};
+use super::release::retry_after;
 use super::request::{PendingRequest, RequestState};
 use super::RequestLifecycle;
 use crate::api::{Action, Class, DedupScope, Effect, Nanos, Outcome, RequestId};
@@ -134,7 +135,7 @@
             });
         }
         let is_safe = is_retry_safe(&request, context.class(request.class()));
-        let retry_after = self.retry_after(&request, context);
+        let retry_after = retry_after(&request, context);
         context.push(if is_safe {
             Action::Reject { id, retry_after }
         } else {
--- a/crates/decision/src/lifecycle/release.rs
+++ b/crates/decision/src/lifecycle/release.rs
@@ -43,7 +43,7 @@
             };
             // Past its time in the queue, another limiter may have capacity sooner.
             let is_new = request.attempts == 0;
-            let is_past_limit = has_no_ready_host || self.is_past_queue_time(request, context);
+            let is_past_limit = has_no_ready_host || is_past_queue_time(request, context);
             if is_new && is_past_limit || self.is_too_late(request, context) {
                 self.finish(id, context);
                 continue;
@@ -73,10 +73,6 @@
         queued
     }
 
-    fn is_past_queue_time(&self, request: &PendingRequest, context: &Context) -> bool {
-        context.now() > request.arrived_at + max_queue_time(request, context)
-    }
-
     /// Whether too little time is left for an answer within the objective.
     fn is_too_late(&self, request: &PendingRequest, context: &Context) -> bool {
         let answer_times = MIN_ANSWER_TIMES_LEFT * self.expected_latency(request);
@@ -95,19 +91,23 @@
     pub(super) fn expected_latency(&self, request: &PendingRequest) -> Nanos {
         self.hosts.mean_latency(request.class())
     }
+}
 
-    /// Backoff for the client of a rejected request: short enough for a retry to meet the objective, else the
-    /// longest, since a retry past the objective is load without weight. Harmful if rejections are expensive.
-    pub(super) fn retry_after(&self, request: &PendingRequest, context: &Context) -> Nanos {
-        let wait = max_queue_time(request, context);
-        if context.now() + wait < request.objective_deadline(context) {
-            wait
-        } else {
-            context.settings().backoff.longest_retry_after
-        }
+/// Backoff for the client of a rejected request: short enough for a retry to meet the objective, else the
+/// longest, since a retry past the objective is load without weight. Harmful if rejections are expensive.
+pub(super) fn retry_after(request: &PendingRequest, context: &Context) -> Nanos {
+    let wait = max_queue_time(request, context);
+    if context.now() + wait < request.objective_deadline(context) {
+        wait
+    } else {
+        context.settings().backoff.longest_retry_after
     }
 }
 
+fn is_past_queue_time(request: &PendingRequest, context: &Context) -> bool {
+    context.now() > request.arrived_at + max_queue_time(request, context)
+}
+
 /// How long a request is queued at most.
 fn max_queue_time(request: &PendingRequest, context: &Context) -> Nanos {
     let objective = request.objective_deadline(context) - request.arrived_at;
--- a/crates/decision/src/quota.rs
+++ b/crates/decision/src/quota.rs
@@ -13,4 +13,4 @@
 
 pub(crate) use claim::{Correction, QuotaClaim, Verdict, VerdictBasis};
 pub(crate) use counter_calls::CounterReply;
-pub(crate) use tracker::QuotaTracker;
+pub(crate) use tracker::{time_to_next_window, QuotaTracker};
--- a/crates/decision/src/quota/tracker.rs
+++ b/crates/decision/src/quota/tracker.rs
@@ -39,11 +39,6 @@
         self.sampler.call_ratio()
     }
 
-    /// How long until the next window of a claim's customer.
-    pub(crate) fn time_to_next_window(&self, claim: &QuotaClaim, context: &Context) -> Nanos {
-        window_of(claim.plan, context).time_to_next()
-    }
-
     /// A known customer's record as it is.
     pub(super) fn known_customer(&self, customer: CustomerId) -> Option<&CustomerRecord> {
         self.customers.get(&customer)
@@ -203,6 +198,11 @@
     }
 }
 
+/// How long until the next window of a claim's customer.
+pub(crate) fn time_to_next_window(claim: &QuotaClaim, context: &Context) -> Nanos {
+    window_of(claim.plan, context).time_to_next()
+}
+
 /// The present window of a plan.
 pub(super) fn window_of(plan: PlanIndex, context: &Context) -> Window {
     Window::of_plan(context.plan(plan), context.settings(), context.now())
