--- a/crates/decision/src/hosts/limits.rs
+++ b/crates/decision/src/hosts/limits.rs
@@ -7,6 +7,9 @@
 use crate::objective::PROMPT_OBJECTIVE_RATIO;
 use crate::time::to_seconds;
 
+#[cfg(test)]
+mod tests;
+
 /// Attempts at once that a host gets at the start, from all limiters together.
 const INITIAL_HOST_CONCURRENCY: f64 = 6.0;
 /// Attempts by which the concurrency limit over all hosts changes with an answer, times how prompt that was.
--- a/crates/decision/src/hosts/selection.rs
+++ b/crates/decision/src/hosts/selection.rs
@@ -6,6 +6,9 @@
 use crate::api::{Class, DedupScope, Effect, HostId, Settings, SlowStartSettings};
 use crate::context::Context;
 
+#[cfg(test)]
+mod tests;
+
 /// Power of the latency score that divides a host's part of the attempts. A zone's score counts once more, as
 /// a zone has more answers.
 const LATENCY_EXPONENT: i32 = 2;
