--- a/crates/admin/src/class_indices/tests.rs
+++ b/crates/admin/src/class_indices/tests.rs
@@ -1,4 +1,4 @@
-//! What an index stands for over reloads.
+//! The meaning of indices over reloads.
 
 use super::*;
 use quartzcleat_decision::api::Effect;
@@ -17,13 +17,13 @@
 }
 
 #[test]
-fn an_index_stands_for_one_class_while_any_request_may_carry_it() {
+fn index_keeps_its_class_while_a_request_may_carry_it() {
     let (check, hold) = (
         ("check", Effect::Idempotent),
         ("hold", Effect::IdempotentWithKey),
     );
     let mut indices = ClassIndices::new(&settings(&[check, hold]));
-    // One vanishes, one gets stricter under its name, one appears.
+    // One class is removed, one gets stricter under its name, one is added.
     let strict = ("hold", Effect::Unsafe);
     let table = indices.apply(&settings(&[strict, ("new", Effect::Unsafe)]), 10);
     let names: Vec<_> = table
@@ -37,7 +37,7 @@
         indices.accepted(10 + ACCEPTED_AFTER_REMOVAL).classes,
         [2, 3]
     );
-    // What comes back as it was has its index back; what nobody can have any more makes room.
+    // A class that returns unchanged gets its index back; an index that no request can carry any more is free.
     assert_eq!(
         indices.apply(&settings(&[check, strict]), 20).classes.len(),
         4
--- a/crates/admin/src/drain/tests.rs
+++ b/crates/admin/src/drain/tests.rs
@@ -1,4 +1,4 @@
-//! Orders and shutdowns that cross, at every phase.
+//! Orders and shutdowns that follow each other, at every phase.
 
 use super::*;
 
@@ -7,31 +7,31 @@
     last_call: 20,
 };
 
-/// Every pair of orders, in its order: drain, undrain and end, at whatever phase the second finds.
+/// Every pair of drain, undrain and shutdown, in its order, the second one at any phase of the first.
 #[test]
-fn every_pair_of_orders_has_one_meaning() {
+fn each_pair_of_orders_leads_to_one_phase() {
     type Order = fn(&mut DrainController, Nanos);
     let (drain, undrain): (Order, Order) = (DrainController::drain, DrainController::undrain);
-    let (end, relieved): (Order, Order) = (
+    let (shut_down, hand_over): (Order, Order) = (
         |controller, at| controller.shut_down(at, Successor::None),
         |controller, at| controller.shut_down(at, Successor::Serving),
     );
     use Phase::{Closing, LastCall, Serving};
-    for (first, second, gap, at, phase, accepts_clients, ending) in [
+    for (first, second, gap, at, phase, accepts_clients, is_shutting_down) in [
         (drain, drain, 10, 21, LastCall, false, false),
         (drain, undrain, 3, 30, Serving, true, false),
         (drain, undrain, 10, 10, Serving, true, false),
         (drain, undrain, 25, 25, Serving, true, false),
         (undrain, drain, 10, 15, Serving, false, false),
         (undrain, drain, 10, 16, Closing, false, false),
-        (drain, end, 10, 20, LastCall, false, true),
-        (drain, end, 2, 5, Serving, false, true),
-        (end, drain, 10, 10, Closing, false, true),
-        (end, undrain, 10, 20, LastCall, true, true),
-        (end, end, 10, 6, Closing, true, true),
-        (drain, relieved, 1, 1, Closing, false, true),
-        (relieved, undrain, 1, 2, Closing, true, true),
-        (relieved, end, 1, 20, LastCall, true, true),
+        (drain, shut_down, 10, 20, LastCall, false, true),
+        (drain, shut_down, 2, 5, Serving, false, true),
+        (shut_down, drain, 10, 10, Closing, false, true),
+        (shut_down, undrain, 10, 20, LastCall, true, true),
+        (shut_down, shut_down, 10, 6, Closing, true, true),
+        (drain, hand_over, 1, 1, Closing, false, true),
+        (hand_over, undrain, 1, 2, Closing, true, true),
+        (hand_over, shut_down, 1, 20, LastCall, true, true),
     ] {
         let mut controller = DrainController::new(TIMES);
         first(&mut controller, 100);
@@ -41,12 +41,16 @@
             controller.accepts_clients(),
             controller.is_shutting_down(),
         );
-        assert_eq!(state, (phase, accepts_clients, ending), "{gap} {at}");
+        assert_eq!(
+            state,
+            (phase, accepts_clients, is_shutting_down),
+            "{gap} {at}"
+        );
     }
 }
 
 #[test]
-fn the_next_phase_is_known_and_the_later_order_holds() {
+fn status_announces_the_next_phase() {
     let mut controller = DrainController::new(TIMES);
     controller.drain(100);
     assert_eq!(
@@ -70,6 +74,12 @@
             next_at: None
         }
     );
+}
+
+#[test]
+fn later_order_of_two_processes_holds() {
+    let mut controller = DrainController::new(TIMES);
+    controller.drain(100);
     let earlier = DrainOrder {
         is_draining: false,
         ordered_at: 90,
--- a/crates/admin/src/handoff/tests.rs
+++ b/crates/admin/src/handoff/tests.rs
@@ -1,4 +1,4 @@
-//! A handoff is read whole or not at all.
+//! Handoffs that are sound, incomplete, of another version or another limiter.
 
 use super::*;
 use quartzcleat_decision::{HostSnapshot, SlownessSnapshot};
@@ -9,7 +9,7 @@
 };
 
 #[test]
-fn a_handoff_is_read_whole_or_not_at_all() {
+fn only_a_complete_handoff_of_the_own_limiter_is_read() {
     let host = HostSnapshot {
         host: 7,
         started: 3,
--- a/crates/admin/src/maintenance/tests.rs
+++ b/crates/admin/src/maintenance/tests.rs
@@ -1,4 +1,4 @@
-//! Orders above what discovery says, merged and bounded.
+//! Orders that override discovery, their merge and their bound.
 
 use super::*;
 use quartzcleat_decision::api::HostId;
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn maintenance_overrides_discovery_and_one_order_to_enable_ends_it() {
+fn maintenance_overrides_discovery_until_the_host_is_enabled() {
     let mut registry = MaintenanceRegistry::default();
     assert_eq!(registry.disable("s", 10), Err(UnknownHost));
     assert_eq!(registry.enable("s", 10), Err(UnknownHost));
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn the_later_of_two_processes_orders_holds_in_whatever_order_they_arrive() {
+fn later_order_of_two_processes_holds_in_either_order_of_arrival() {
     let (mut one, mut two) = (
         MaintenanceRegistry::default(),
         MaintenanceRegistry::default(),
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn names_are_bounded() {
+fn listed_names_are_bounded() {
     let mut registry = MaintenanceRegistry::default();
     (0..MAX_LISTED_NAMES + 10).for_each(|n| registry.record_listed(&n.to_string()));
     assert_eq!(
--- a/crates/admin/src/request/tests.rs
+++ b/crates/admin/src/request/tests.rs
@@ -1,9 +1,9 @@
-//! Every request is parsed, and every other one is refused with advice.
+//! Requests of the interface, and others that are refused.
 
 use super::*;
 
 #[test]
-fn every_request_is_parsed_and_every_other_one_is_refused_with_advice() {
+fn requests_of_the_interface_are_parsed_and_others_refused() {
     let id = br#"{"host":"s-1"}"#;
     for (method, path, body, expected) in [
         ("GET", "/ready", &b""[..], Ok(AdminRequest::Ready)),
--- a/crates/admin/src/shared_state/tests.rs
+++ b/crates/admin/src/shared_state/tests.rs
@@ -1,4 +1,4 @@
-//! A state is read whole or not at all.
+//! States that are sound, incomplete, of another version or another limiter.
 
 use super::*;
 use crate::FORMAT_VERSION;
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn what_is_written_is_read_and_nothing_else_is() {
+fn only_a_complete_state_of_the_own_limiter_is_read() {
     let state = state();
     let text = state.to_text();
     let read = |text: &str, limiter| SharedState::from_text(text, limiter);
@@ -50,7 +50,7 @@
 
 /// The keys are read by the version before this one.
 #[test]
-fn the_stored_keys_stay() {
+fn stored_keys_are_unchanged() {
     assert_eq!(
         state().to_text(),
         r#"{"version":1,"name":"n1","listen":"a","born":0,"serving":false,"drain":{"on":false,"at":0},"words":{"s":{"out":true,"began":3,"at":4}},"listed":[]}"#
--- a/src/net/admin/tests.rs
+++ b/src/net/admin/tests.rs
@@ -1,11 +1,10 @@
-//! Requests that are cut, malformed, or earlier than the first list.
+//! Requests that are incomplete, malformed, or earlier than the first list.
 
 use super::*;
 
-/// A server that is on discovery's first list was listed, however early staff name it; of one that is not, nothing
-/// is known until that list is there.
+/// A request on a host waits for discovery's first list: only then it is known whether the host was ever listed.
 #[test]
-fn a_request_before_the_first_list_waits_for_it() {
+fn host_request_waits_for_the_first_list() {
     let console = [("\"listen\"", "\"console\": \"127.0.0.1:9\", \"listen\"")];
     crate::net::tests::with_limiter(&console, |limiter| async move {
         let call = AdminRequest::Disable("s-1".to_owned());
@@ -15,7 +14,7 @@
         assert_eq!(
             carry_out(limiter.admin(), call.clone()).status,
             503,
-            "no list has come"
+            "no list was received"
         );
         let listing = limiter.clone();
         tokio::task::spawn_local(async move {
@@ -37,7 +36,7 @@
 }
 
 #[test]
-fn a_request_is_complete_or_awaited_or_refused_with_advice() {
+fn http_request_is_parsed_once_complete_or_refused() {
     let put =
         "PUT /servers/disable HTTP/1.1\r\nHost: x\r\ncontent-length: 14\r\n\r\n{\"host\":\"s-1\"}";
     assert_eq!(status(put), Some(200));
--- a/src/net/counter/tests.rs
+++ b/src/net/counter/tests.rs
@@ -1,4 +1,4 @@
-//! Calls and answers that cross with time-outs, moves and broken connections.
+//! Calls and answers that race with timeouts, address changes and failed connections.
 
 use super::answer::{parse_answer, CallOutcome};
 use super::call_queue::CallQueue;
@@ -8,48 +8,81 @@
 use crate::net::task::spawn;
 use crate::net::tests::{next, with_limiter};
 use crate::net::Limiter;
+use std::future::Future;
 use std::rc::Rc;
+use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
-use tokio::time::{timeout, Instant};
+use tokio::time::{sleep, timeout, Instant};
 
-async fn counted(limiter: &Rc<Limiter>) -> (Outcome, f64) {
-    match next(limiter).await {
-        Event::CounterReplied { outcome, total, .. } => (outcome, total),
-        other => panic!("{other:?}"),
-    }
+/// How long the counter keeps a name, in nanoseconds and as the end of the command.
+const KEEP_FOR: u64 = 4_000_000_000;
+const COMMAND_END: &[u8] = b"4000\r\n";
+
+/// Runs a test on a limiter whose counter is at `address` and whose calls time out after `call_timeout`.
+fn with_counter<F: Future<Output = ()>>(
+    address: &str,
+    call_timeout: Duration,
+    test: impl FnOnce(Rc<Limiter>) -> F,
+) {
+    let call_timeout = format!("\"counterTimeoutNs\": {}", call_timeout.as_nanos());
+    let changes = [
+        ("127.0.0.1:7002", address),
+        ("\"counterTimeoutNs\": 30000000", call_timeout.as_str()),
+    ];
+    with_limiter(&changes, test);
 }
 
-/// Reads until as many calls have come.
-async fn calls(stream: &mut TcpStream, count: usize) {
-    let mut bytes = Vec::new();
-    while bytes.windows(6).filter(|six| six == b"ADDGET").count() < count
-        || !bytes.ends_with(b"4000\r\n")
-    {
-        assert!(
-            stream
-                .read_buf(&mut bytes)
-                .await
-                .expect("the limiter writes")
-                > 0
-        );
+/// A counter that the test answers for.
+struct ScriptedCounter {
+    listener: TcpListener,
+}
+
+impl ScriptedCounter {
+    async fn bind(address: &str) -> Self {
+        let listener = TcpListener::bind(address).await;
+        ScriptedCounter {
+            listener: listener.expect("the address is free"),
+        }
+    }
+
+    async fn accept(&self) -> CounterStream {
+        let (stream, _) = self.listener.accept().await.expect("the limiter connects");
+        CounterStream { stream }
     }
 }
 
-fn call(limiter: &Rc<Limiter>, amount: f64) {
-    limiter
-        .counter()
-        .call("q7.1".to_owned(), amount, 4_000_000_000);
+/// The counter's end of a connection.
+struct CounterStream {
+    stream: TcpStream,
 }
 
-async fn bind(address: &str) -> TcpListener {
-    let bound = TcpListener::bind(address).await;
-    bound.expect("the address is free")
+impl CounterStream {
+    /// Reads until as many calls have been received.
+    async fn read_calls(&mut self, count: usize) {
+        let mut bytes = Vec::new();
+        while bytes.windows(6).filter(|six| six == b"ADDGET").count() < count
+            || !bytes.ends_with(COMMAND_END)
+        {
+            let received = self.stream.read_buf(&mut bytes).await;
+            assert!(received.expect("the limiter writes") > 0);
+        }
+    }
+
+    async fn answer(&mut self, bytes: &[u8]) {
+        let written = self.stream.write_all(bytes).await;
+        written.expect("the limiter reads");
+    }
+
+    /// Waits until the limiter has closed the connection.
+    async fn assert_closed(&mut self) {
+        let received = self.stream.read(&mut [0]).await;
+        assert_eq!(received.expect("an orderly end"), 0);
+    }
 }
 
-async fn answer(stream: &mut TcpStream, bytes: &[u8]) {
-    let written = stream.write_all(bytes).await;
-    written.expect("the limiter reads");
+fn call(limiter: &Rc<Limiter>, amount: f64) {
+    limiter.counter().call("q7.1".to_owned(), amount, KEEP_FOR);
 }
 
 /// Starts the link of the calls that were made; its queue.
@@ -63,121 +96,132 @@
     queue.clone()
 }
 
-/// Answers that come late belong to the calls they were late for, not to those that wait now.
+/// The outcome of the next call that is reported to the engine.
+async fn next_outcome(limiter: &Rc<Limiter>) -> CallOutcome {
+    match next(limiter).await {
+        Event::CounterReplied { outcome, total, .. } => CallOutcome { outcome, total },
+        other => panic!("{other:?}"),
+    }
+}
+
+/// The outcome of a good call.
+fn good(total: f64) -> CallOutcome {
+    CallOutcome {
+        outcome: Outcome::Good,
+        total,
+    }
+}
+
+/// Late answers belong to the calls that timed out, and not to the calls that wait now.
 #[test]
-fn late_answers_are_dropped_by_their_place() {
-    let changes = [
-        ("127.0.0.1:7002", "127.77.0.20:7002"),
-        (
-            "\"counterTimeoutNs\": 30000000",
-            "\"counterTimeoutNs\": 200000000",
-        ),
-    ];
-    with_limiter(&changes, |limiter| async move {
-        let listener = bind("127.77.0.20:7002").await;
-        // Made before there is a connection; of the others' connections none comes into it.
+fn late_answers_are_matched_to_their_calls() {
+    let call_timeout = Duration::from_millis(200);
+    with_counter("127.77.0.20:7002", call_timeout, |limiter| async move {
+        let counter = ScriptedCounter::bind("127.77.0.20:7002").await;
         call(&limiter, 1.0);
         call(&limiter, -2.5);
         start_link(&limiter);
-        let (mut stream, _) = listener.accept().await.expect("the limiter connects");
-        calls(&mut stream, 2).await;
-        assert_eq!(counted(&limiter).await.0, Outcome::Timeout);
-        assert_eq!(counted(&limiter).await.0, Outcome::Timeout);
+        let mut stream = counter.accept().await;
+        stream.read_calls(2).await;
+        assert_eq!(next_outcome(&limiter).await.outcome, Outcome::Timeout);
+        assert_eq!(next_outcome(&limiter).await.outcome, Outcome::Timeout);
+        call(&limiter, 3.0);
+        stream.read_calls(1).await;
+        stream
+            .answer(b"$1\r\n1\r\n$4\r\n-1.5\r\n$3\r\n1.5\r\n")
+            .await;
+        assert_eq!(next_outcome(&limiter).await, good(1.5));
+    });
+}
+
+/// A connection that ends fails its call, which may have been added; the next connection serves further calls, also
+/// where the counter rejects one.
+#[test]
+fn link_continues_on_a_new_connection() {
+    let call_timeout = Duration::from_millis(200);
+    with_counter("127.77.0.25:7002", call_timeout, |limiter| async move {
+        let counter = ScriptedCounter::bind("127.77.0.25:7002").await;
         call(&limiter, 3.0);
-        calls(&mut stream, 1).await;
-        answer(&mut stream, b"$1\r\n1\r\n$4\r\n-1.5\r\n$3\r\n1.5\r\n").await;
-        assert_eq!(counted(&limiter).await, (Outcome::Good, 1.5));
-        // A connection that ends takes with it what may have been added.
+        start_link(&limiter);
+        let mut stream = counter.accept().await;
+        stream.read_calls(1).await;
+        stream.answer(b"$1\r\n3\r\n").await;
+        assert_eq!(next_outcome(&limiter).await, good(3.0));
         call(&limiter, 4.0);
-        calls(&mut stream, 1).await;
+        stream.read_calls(1).await;
         drop(stream);
-        assert_eq!(counted(&limiter).await.0, Outcome::Timeout);
-        // Its successor serves on, also where the counter turns a call away.
-        let (mut stream, _) = listener.accept().await.expect("the limiter connects again");
+        assert_eq!(next_outcome(&limiter).await.outcome, Outcome::Timeout);
+        let mut stream = counter.accept().await;
         call(&limiter, 5.0);
         call(&limiter, 6.0);
-        calls(&mut stream, 2).await;
-        answer(&mut stream, b"-BUSY\r\n$1\r\n6\r\n").await;
-        assert_eq!(counted(&limiter).await.0, Outcome::Rejected);
-        assert_eq!(counted(&limiter).await, (Outcome::Good, 6.0));
+        stream.read_calls(2).await;
+        stream.answer(b"-BUSY\r\n$1\r\n6\r\n").await;
+        assert_eq!(next_outcome(&limiter).await.outcome, Outcome::Rejected);
+        assert_eq!(next_outcome(&limiter).await, good(6.0));
     });
 }
 
-/// What was never on its way was not added, and is told so, in time.
+/// Calls that were never sent were not added, and are reported so in time.
 #[test]
-fn without_a_connection_nothing_is_added() {
-    with_limiter(
-        &[("127.0.0.1:7002", "127.77.0.21:7002")],
-        |limiter| async move {
-            start(limiter.counter());
-            call(&limiter, 1.0);
-            call(&limiter, 2.0);
-            assert_eq!(counted(&limiter).await.0, Outcome::ConnectFailed);
-            assert_eq!(counted(&limiter).await.0, Outcome::ConnectFailed);
-            assert!(limiter
-                .counter()
-                .queues
-                .iter()
-                .all(|queue| queue.is_empty()));
-        },
-    );
+fn calls_without_a_connection_are_reported_as_not_added() {
+    let changes = [("127.0.0.1:7002", "127.77.0.21:7002")];
+    with_limiter(&changes, |limiter| async move {
+        start(limiter.counter());
+        call(&limiter, 1.0);
+        call(&limiter, 2.0);
+        assert_eq!(next_outcome(&limiter).await.outcome, Outcome::ConnectFailed);
+        assert_eq!(next_outcome(&limiter).await.outcome, Outcome::ConnectFailed);
+        let queues = &limiter.counter().queues;
+        assert!(queues.iter().all(|queue| queue.is_empty()));
+    });
 }
 
-/// Calls written to a counter that has moved are waited for there, and told before those made after them.
+/// Calls written to a counter that has moved are answered there, and reported before the calls made after them.
 #[test]
-fn a_move_keeps_the_order_and_loses_no_call() {
-    let changes = [
-        ("127.0.0.1:7002", "127.77.0.22:7002"),
-        (
-            "\"counterTimeoutNs\": 30000000",
-            "\"counterTimeoutNs\": 2000000000",
-        ),
-    ];
-    with_limiter(&changes, |limiter| async move {
-        let old = bind("127.77.0.22:7002").await;
-        let new = bind("127.77.0.22:7003").await;
+fn address_change_keeps_the_order_and_loses_no_call() {
+    let call_timeout = Duration::from_secs(2);
+    with_counter("127.77.0.22:7002", call_timeout, |limiter| async move {
+        let old_counter = ScriptedCounter::bind("127.77.0.22:7002").await;
+        let new_counter = ScriptedCounter::bind("127.77.0.22:7003").await;
         call(&limiter, 1.0);
         start_link(&limiter);
-        let (mut before, _) = old.accept().await.expect("the limiter connects");
-        calls(&mut before, 1).await;
+        let mut old_stream = old_counter.accept().await;
+        old_stream.read_calls(1).await;
+        let new_address = new_counter.listener.local_addr().ok();
         limiter
             .reloader()
             .addresses()
-            .send_modify(|held| held.counter = new.local_addr().ok());
+            .send_modify(|held| held.counter = new_address);
         call(&limiter, 2.0);
-        let (mut after, _) = new
-            .accept()
-            .await
-            .expect("the limiter connects to the new address");
-        calls(&mut after, 1).await;
-        answer(&mut after, b"$1\r\n3\r\n").await;
-        tokio::time::sleep(limiter.limits().reconnect_pause).await;
+        let mut new_stream = new_counter.accept().await;
+        new_stream.read_calls(1).await;
+        new_stream.answer(b"$1\r\n3\r\n").await;
+        sleep(limiter.limits().reconnect_pause).await;
         assert_eq!(
             limiter.engine().take_event(),
             None,
             "the first call has no answer yet"
         );
-        answer(&mut before, b"$1\r\n1\r\n").await;
-        assert_eq!(counted(&limiter).await, (Outcome::Good, 1.0));
-        assert_eq!(counted(&limiter).await, (Outcome::Good, 3.0));
-        // The old connection ends once nothing is awaited on it.
-        assert_eq!(before.read(&mut [0]).await.expect("an end"), 0);
+        old_stream.answer(b"$1\r\n1\r\n").await;
+        assert_eq!(next_outcome(&limiter).await, good(1.0));
+        assert_eq!(next_outcome(&limiter).await, good(3.0));
+        old_stream.assert_closed().await;
     });
 }
 
-/// Only a refusal that the counter words proves that nothing was added.
+/// Only an error word of the counter proves that nothing was added.
 #[test]
-fn what_tells_nothing_may_have_been_added() {
+fn answers_are_parsed_and_malformed_ones_refused() {
     with_limiter(&[], |limiter| async move {
         let read = |bytes: &str| parse_answer(bytes.as_bytes(), limiter.limits());
-        let whole = |bytes: &str| {
-            let CallOutcome { outcome, total } =
-                read(bytes).expect("sound").expect("whole").outcome;
-            (outcome, total)
-        };
-        assert_eq!(whole("$4\r\n-1.5\r\n$1\r\n2\r\n"), (Outcome::Good, -1.5));
-        assert_eq!(whole("-BUSY\r\n"), (Outcome::Rejected, 0.0));
-        assert_eq!(whole("-ERR no such call\r\n"), (Outcome::Rejected, 0.0));
+        for (bytes, outcome, total) in [
+            ("$4\r\n-1.5\r\n$1\r\n2\r\n", Outcome::Good, -1.5),
+            ("-BUSY\r\n", Outcome::Rejected, 0.0),
+            ("-ERR no such call\r\n", Outcome::Rejected, 0.0),
+        ] {
+            let answer = read(bytes).expect("sound").expect("complete");
+            assert_eq!(answer.outcome, CallOutcome { outcome, total });
+        }
         for part in ["", "$", "$4\r\n-1", "-BU"] {
             assert!(read(part).expect("sound").is_none(), "{part:?}");
         }
@@ -197,84 +241,84 @@
     });
 }
 
-/// A connection that became silent is left once others were answered while it was not; one whose silence no other
-/// connection contradicts is kept for its time, as is one that was never answered.
+/// A silent connection is kept while no other one is answered, and given up early once another one is.
 #[test]
-fn a_connection_that_others_outlast_is_left_early() {
-    let changes = [
-        ("127.0.0.1:7002", "127.77.0.24:7002"),
-        (
-            "\"counterTimeoutNs\": 30000000",
-            "\"counterTimeoutNs\": 50000000",
-        ),
-    ];
-    with_limiter(&changes, |limiter| async move {
-        let listener = bind("127.77.0.24:7002").await;
+fn silent_connection_is_given_up_early_once_another_is_answered() {
+    let call_timeout = Duration::from_millis(50);
+    with_counter("127.77.0.24:7002", call_timeout, |limiter| async move {
+        let counter = ScriptedCounter::bind("127.77.0.24:7002").await;
         call(&limiter, 1.0);
         let queue = start_link(&limiter);
-        let (mut stream, _) = listener.accept().await.expect("the limiter connects");
-        calls(&mut stream, 1).await;
-        answer(&mut stream, b"$1\r\n1\r\n").await;
-        assert_eq!(counted(&limiter).await, (Outcome::Good, 1.0));
-        // No connection is answered: the counter may be at fault, and this one is kept.
+        let mut stream = counter.accept().await;
+        stream.read_calls(1).await;
+        stream.answer(b"$1\r\n1\r\n").await;
+        assert_eq!(next_outcome(&limiter).await, good(1.0));
         call(&limiter, 1.0);
-        calls(&mut stream, 1).await;
-        assert_eq!(counted(&limiter).await.0, Outcome::Timeout);
-        let wait = 4 * limiter.limits().counter.call_timeout.get();
-        let second = timeout(wait, listener.accept()).await;
+        stream.read_calls(1).await;
+        assert_eq!(next_outcome(&limiter).await.outcome, Outcome::Timeout);
+        let second = timeout(4 * call_timeout, counter.accept()).await;
         assert!(
             second.is_err(),
             "no second connection while no other is answered"
         );
-        // Another link's answer comes in: this one alone is at fault.
         queue.last_answered.set(Some(Instant::now()));
         call(&limiter, 1.0);
         let began = Instant::now();
-        let (mut stream, _) = listener.accept().await.expect("the limiter connects again");
+        counter.accept().await;
         assert!(began.elapsed() < limiter.limits().counter.silence_timeout / 2);
-        // Never answered: the new one is kept for its whole time, whoever else is answered.
+    });
+}
+
+/// A connection that was never answered is kept for its whole time, also where others are answered and where the
+/// connection before it was answered.
+#[test]
+fn connection_without_a_first_answer_is_not_given_up_early() {
+    let call_timeout = Duration::from_millis(50);
+    with_counter("127.77.0.26:7002", call_timeout, |limiter| async move {
+        let counter = ScriptedCounter::bind("127.77.0.26:7002").await;
         call(&limiter, 1.0);
-        calls(&mut stream, 1).await;
-        let allowed = limiter.limits().counter.silence_timeout;
-        queue.last_answered.set(Some(Instant::now() + allowed));
-        let third = timeout(allowed / 2, listener.accept()).await;
+        let queue = start_link(&limiter);
+        let mut answered = counter.accept().await;
+        answered.read_calls(1).await;
+        answered.answer(b"$1\r\n1\r\n").await;
+        assert_eq!(next_outcome(&limiter).await, good(1.0));
+        drop(answered);
+        let mut never_answered = counter.accept().await;
+        call(&limiter, 1.0);
+        never_answered.read_calls(1).await;
+        let silence_timeout = limiter.limits().counter.silence_timeout;
+        queue
+            .last_answered
+            .set(Some(Instant::now() + silence_timeout));
+        let third = timeout(silence_timeout / 2, counter.accept()).await;
         assert!(
             third.is_err(),
-            "a counter that never answers is not asked for ever more connections"
+            "a counter that never answers does not get ever more connections"
         );
     });
 }
 
-/// A malformed answer ends its connection at once: its call and those behind it are each reported once, and the
+/// A malformed answer ends its connection at once: its call and the calls behind it are each reported once, and the
 /// next call goes to a new connection without a pause.
 #[test]
-fn a_malformed_answer_ends_the_connection_and_not_the_link() {
-    let changes = [
-        ("127.0.0.1:7002", "127.77.0.23:7002"),
-        (
-            "\"counterTimeoutNs\": 30000000",
-            "\"counterTimeoutNs\": 1000000000",
-        ),
-    ];
-    with_limiter(&changes, |limiter| async move {
-        let listener = bind("127.77.0.23:7002").await;
+fn malformed_answer_ends_the_connection_and_not_the_link() {
+    let call_timeout = Duration::from_secs(1);
+    with_counter("127.77.0.23:7002", call_timeout, |limiter| async move {
+        let counter = ScriptedCounter::bind("127.77.0.23:7002").await;
         (0..3).for_each(|_| call(&limiter, 1.0));
         start_link(&limiter);
-        let (mut stream, _) = listener.accept().await.expect("the limiter connects");
-        calls(&mut stream, 3).await;
+        let mut stream = counter.accept().await;
+        stream.read_calls(3).await;
         let began = Instant::now();
-        answer(&mut stream, b"$1\r\n1\r\n*2\r\n").await;
-        assert_eq!(counted(&limiter).await, (Outcome::Good, 1.0));
-        assert_eq!(counted(&limiter).await.0, Outcome::Timeout);
-        assert_eq!(counted(&limiter).await.0, Outcome::Timeout);
-        assert!(
-            began.elapsed() < limiter.limits().counter.call_timeout.get(),
-            "told before their time was over"
-        );
+        stream.answer(b"$1\r\n1\r\n*2\r\n").await;
+        assert_eq!(next_outcome(&limiter).await, good(1.0));
+        assert_eq!(next_outcome(&limiter).await.outcome, Outcome::Timeout);
+        assert_eq!(next_outcome(&limiter).await.outcome, Outcome::Timeout);
+        assert!(began.elapsed() < call_timeout, "before their timeout");
         call(&limiter, 4.0);
-        let (mut stream, _) = listener.accept().await.expect("the limiter connects again");
-        calls(&mut stream, 1).await;
-        answer(&mut stream, b"$1\r\n7\r\n").await;
-        assert_eq!(counted(&limiter).await, (Outcome::Good, 7.0));
+        let mut stream = counter.accept().await;
+        stream.read_calls(1).await;
+        stream.answer(b"$1\r\n7\r\n").await;
+        assert_eq!(next_outcome(&limiter).await, good(7.0));
     });
 }
--- a/src/net/discovery/backoff/tests.rs
+++ b/src/net/discovery/backoff/tests.rs
@@ -1,12 +1,12 @@
-//! A hundred limiters that start at one moment, and the bounds of the pauses.
+//! A fleet that starts at one moment, and the bounds of the pauses.
 
 use super::*;
 
-/// A hundred limiters that start at one moment, before a service that answers 25 calls a second in turn and fails
-/// those that have waited for 2 s: all are answered, and none waits in vain. Asked at once and again after 100 ms,
-/// as before, half of them wait in vain.
+/// A hundred limiters start at one moment. The service answers 25 calls a second in their order, and fails calls that
+/// have waited for 2 s. With a spread first call all calls are answered, and none fails. Called at once, and again
+/// after 100 ms, the limiters fail nearly half of their calls.
 #[test]
-fn a_herd_comes_apart() {
+fn fleet_that_starts_at_once_spreads_its_calls() {
     let herd = |least: u64, most: u64, spread: bool| {
         let time = Duration::from_millis;
         let mut limiters: Vec<_> = (0..100)
@@ -23,7 +23,7 @@
             })
             .collect();
         let (mut free, mut failed) = (Duration::ZERO, 0);
-        // Until 30 s are over, the next call to come is answered in its turn or fails.
+        // For 30 s, the earliest call is answered in its order or fails.
         while let Some((at, one)) = next_call
             .iter()
             .zip(0..)
@@ -36,7 +36,7 @@
             let begins = free.max(at);
             if begins - at > time(2_000) {
                 failed += 1;
-                // A caller that gave up had its place in the line for all that time.
+                // A caller that gave up had kept its place in the queue for all that time.
                 free += time(1);
                 next_call[one] = Some(at + time(2_000) + limiters[one].after_failure());
             } else {
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn an_answer_makes_the_next_failure_a_first_one() {
+fn answer_resets_the_backoff() {
     let mut backoff = Backoff::new(Duration::from_millis(100), Duration::from_secs(5), 1);
     (0..20).for_each(|_| assert!(backoff.after_failure() <= Duration::from_secs(5)));
     backoff.answered();
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -11,7 +11,7 @@
 mod watch;
 
 #[cfg(test)]
-mod crossings;
+mod race_tests;
 #[cfg(test)]
 pub(crate) mod tests;
 
--- /dev/null
+++ b/src/net/discovery/race_tests.rs
@@ -0,0 +1,353 @@
+//! Races between the answers of discovery, and the time within which a change is known: a scripted discovery on real
+//! sockets.
+
+use super::{check, follow, Backoff};
+use crate::api::{Event, HostState};
+use crate::net::config::{parse, Limits};
+use crate::net::task::spawn;
+use crate::net::tests::{next, with_limiter};
+use crate::net::Limiter;
+use std::future::Future;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::time::{timeout, Instant};
+
+/// A change counts as known to all limiters after this time.
+const NOTIFIED_WITHIN: Duration = Duration::from_secs(6);
+
+/// The address of discovery in the example's configuration.
+const EXAMPLE_ADDRESS: &str = "127.0.0.1:7001";
+
+/// How the limiter learns of changes.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Mode {
+    Pushed,
+    Polled,
+}
+
+impl Mode {
+    fn setting(self) -> &'static str {
+        match self {
+            Mode::Pushed => "\"push\"",
+            Mode::Polled => "\"ask\"",
+        }
+    }
+}
+
+/// Runs a test with a limiter that follows a scripted discovery.
+fn with_discovery<F: Future<Output = ()>>(
+    address: &'static str,
+    mode: Mode,
+    test: impl FnOnce(Rc<Limiter>, ScriptedDiscovery) -> F,
+) {
+    let changes = [
+        (EXAMPLE_ADDRESS, address),
+        (Mode::Pushed.setting(), mode.setting()),
+    ];
+    with_limiter(&changes, |limiter| async move {
+        let listener = TcpListener::bind(address).await;
+        let discovery = ScriptedDiscovery {
+            listener: listener.expect("the address is free"),
+        };
+        let backoff = Backoff::from_limits(limiter.limits(), 1);
+        spawn(follow(limiter.discovery().clone(), backoff));
+        if mode == Mode::Pushed {
+            spawn(check(limiter.discovery().clone()));
+        }
+        test(limiter, discovery).await;
+    });
+}
+
+/// A discovery that answers as the test says.
+struct ScriptedDiscovery {
+    listener: TcpListener,
+}
+
+impl ScriptedDiscovery {
+    /// The next request on a connection of its own.
+    async fn accept(&self) -> PendingRequest {
+        loop {
+            let (stream, _) = self.listener.accept().await.expect("the limiter connects");
+            if let Some(request) = next_request(stream).await {
+                return request;
+            }
+        }
+    }
+}
+
+/// A request of the limiter that is not answered yet.
+struct PendingRequest {
+    stream: TcpStream,
+    path: String,
+}
+
+/// The next request on a connection; `None` where the limiter has closed it.
+async fn next_request(mut stream: TcpStream) -> Option<PendingRequest> {
+    let mut text = Vec::new();
+    while !text.ends_with(b"\r\n\r\n") {
+        let received = stream.read_buf(&mut text).await;
+        received.ok().filter(|count| *count > 0)?;
+    }
+    let text = String::from_utf8(text).expect("the request is text");
+    Some(PendingRequest {
+        stream,
+        path: text.split(' ').nth(1).expect("a path").to_owned(),
+    })
+}
+
+/// An answer with one host.
+struct ListAnswer {
+    version: u64,
+    is_full: bool,
+    state: &'static str,
+}
+
+fn full_list(version: u64, state: &'static str) -> ListAnswer {
+    ListAnswer {
+        version,
+        is_full: true,
+        state,
+    }
+}
+
+fn changes(version: u64, state: &'static str) -> ListAnswer {
+    ListAnswer {
+        version,
+        is_full: false,
+        state,
+    }
+}
+
+impl PendingRequest {
+    fn is_watch(&self) -> bool {
+        self.path.contains("index=")
+    }
+
+    /// Answers the request; returns the connection.
+    async fn answer(mut self, answer: ListAnswer) -> TcpStream {
+        let ListAnswer {
+            version,
+            is_full,
+            state,
+        } = answer;
+        let body = format!(
+            r#"{{"generation":{version},"reset":{is_full},"instances":[{{"instanceId":"s-1","zone":"a",
+            "hostPort":"127.0.0.1:5","machineType":"m","lifecycle":"{state}"}}]}}"#
+        );
+        let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
+        let written = self.stream.write_all((head + &body).as_bytes()).await;
+        written.expect("the limiter reads");
+        self.stream
+    }
+
+    /// Answers the request and waits for the next one on the same connection.
+    async fn answer_and_wait(self, answer: ListAnswer) -> PendingRequest {
+        let stream = self.answer(answer).await;
+        let request = next_request(stream).await;
+        request.expect("the limiter keeps the connection")
+    }
+}
+
+/// A list that was handed to the engine: its version, and the state of its first host.
+#[derive(Debug, PartialEq, Eq)]
+struct AppliedList {
+    version: u64,
+    state: HostState,
+}
+
+/// The next list that the engine would handle.
+async fn next_list(limiter: &Rc<Limiter>) -> AppliedList {
+    match next(limiter).await {
+        Event::Hosts {
+            version, entries, ..
+        } => AppliedList {
+            version,
+            state: entries[0].state,
+        },
+        other => panic!("{other:?}"),
+    }
+}
+
+fn applied(version: u64, state: HostState) -> AppliedList {
+    AppliedList { version, state }
+}
+
+fn limits_of_fleet(limiters: u32, mode: Mode) -> Limits {
+    let text = include_str!("../../../examples/toy.json")
+        .replace(Mode::Pushed.setting(), mode.setting())
+        .replace("\"balancers\": 1", &format!("\"balancers\": {limiters}"));
+    parse(&text, |_| None).expect("sound").limits
+}
+
+/// After any number of failures and in a fleet of any size, the next call, its connection and its answer fit into the
+/// 6 s after which a change counts as known; and an idle watch is followed by another, with its answer, within 2 s of
+/// the end of its wait.
+#[test]
+fn longest_backoff_fits_into_the_notification_time() {
+    for (limiters, mode) in [
+        (1, Mode::Pushed),
+        (300, Mode::Pushed),
+        (1, Mode::Polled),
+        (3, Mode::Polled),
+        (100, Mode::Polled),
+        (300, Mode::Polled),
+    ] {
+        let limits = limits_of_fleet(limiters, mode);
+        let discovery = &limits.discovery;
+        assert_eq!(discovery.is_polled, mode == Mode::Polled);
+        let mut backoff = Backoff::from_limits(&limits, 7);
+        let pauses = (0..1_000).map(|_| backoff.after_failure());
+        let longest = pauses.max().unwrap_or_default();
+        assert!(
+            longest > Duration::from_secs(2),
+            "the pause reaches its widest bound"
+        );
+        let call = limits.connect_timeout.get() + discovery.watch_grace;
+        assert!(
+            longest + call < NOTIFIED_WITHIN,
+            "{limiters} limiters, {mode:?}: {longest:?}"
+        );
+        assert!(call < Duration::from_secs(2));
+        match mode {
+            Mode::Pushed => {
+                let check = discovery.full_list_interval + discovery.full_list_timeout;
+                assert!(check < NOTIFIED_WITHIN);
+            }
+            // Only the watch finds changes there. In a small fleet its own end is early enough.
+            Mode::Polled => {
+                assert!(limiters > 3 || discovery.watch_timeout + call < NOTIFIED_WITHIN);
+            }
+        }
+    }
+}
+
+/// Pushed: a watch stays silent on an open connection; the check finds the change, and the watch is opened again.
+#[test]
+fn silent_watch_is_reopened_once_the_check_finds_a_change() {
+    let address = "127.77.0.40:7001";
+    with_discovery(address, Mode::Pushed, |limiter, discovery| async move {
+        let first = discovery.accept().await;
+        let watch = first.answer_and_wait(full_list(4, "SERVING")).await;
+        assert!(watch.path.contains("index=4"), "{}", watch.path);
+        assert_eq!(next_list(&limiter).await, applied(4, HostState::Ready));
+        let changed = Instant::now();
+        drop(
+            discovery
+                .accept()
+                .await
+                .answer(full_list(5, "DRAINING"))
+                .await,
+        );
+        assert_eq!(next_list(&limiter).await, applied(5, HostState::Draining));
+        assert!(changed.elapsed() < NOTIFIED_WITHIN);
+        // The next connections are a check or the new watch, in either order; only the watch stays open.
+        let reopened = loop {
+            let request = discovery.accept().await;
+            let stream = request.answer(full_list(5, "DRAINING")).await;
+            if let Some(watch) = next_request(stream).await {
+                break watch;
+            }
+        };
+        assert!(reopened.path.contains("index=5"), "{}", reopened.path);
+        assert!(
+            changed.elapsed() < NOTIFIED_WITHIN,
+            "long before the wait of the silent watch is over"
+        );
+        drop(watch);
+    });
+}
+
+/// Polled: a watch stays silent on an open connection; at the end of its wait it is opened again without a pause, for
+/// the changes since the list in force.
+#[test]
+fn silent_polled_watch_is_reopened_at_the_end_of_its_wait() {
+    let address = "127.77.0.41:7001";
+    with_discovery(address, Mode::Polled, |limiter, discovery| async move {
+        let first = discovery.accept().await;
+        assert!(first.is_watch(), "{}", first.path);
+        let silent = first.answer_and_wait(full_list(4, "SERVING")).await;
+        let began = Instant::now();
+        let reopened = discovery.accept().await;
+        assert!(reopened.path.contains("index=4"), "{}", reopened.path);
+        drop(reopened.answer(changes(5, "DRAINING")).await);
+        assert_eq!(next_list(&limiter).await, applied(4, HostState::Ready));
+        assert_eq!(next_list(&limiter).await, applied(5, HostState::Draining));
+        let elapsed = began.elapsed();
+        assert!(elapsed < NOTIFIED_WITHIN, "after {elapsed:?}");
+        assert!(
+            elapsed >= limiter.limits().discovery.watch_timeout,
+            "not before the end of its wait"
+        );
+        drop(silent);
+    });
+}
+
+/// A check of the full list is answered late, after the watch brought a newer list: it changes nothing. Once the
+/// version goes back in two answers in a row, discovery has restarted, and its list is applied.
+#[test]
+fn late_answer_changes_nothing_and_a_restart_of_discovery_is_recognized() {
+    let address = "127.77.0.42:7001";
+    with_discovery(address, Mode::Pushed, |limiter, discovery| async move {
+        let first = discovery.accept().await;
+        let watch = first.answer_and_wait(full_list(4, "SERVING")).await;
+        assert_eq!(next_list(&limiter).await, applied(4, HostState::Ready));
+        let late_check = discovery.accept().await;
+        assert!(!late_check.is_watch());
+        let watch = watch.answer_and_wait(changes(6, "DRAINING")).await;
+        assert_eq!(next_list(&limiter).await, applied(6, HostState::Draining));
+        // The check was sent before the newer list: its answer does not show the current list.
+        drop(late_check.answer(full_list(2, "SERVING")).await);
+        for version in [2, 6, 2] {
+            let check = discovery.accept().await;
+            drop(check.answer(full_list(version, "SERVING")).await);
+        }
+        let last_check = discovery.accept().await;
+        assert!(
+            limiter.engine().take_event().is_none(),
+            "no two answers in a row went back yet"
+        );
+        drop(last_check.answer(full_list(2, "SERVING")).await);
+        assert_eq!(next_list(&limiter).await, applied(2, HostState::Ready));
+        drop(watch);
+    });
+}
+
+/// Changes that are older than the list in force change nothing; the full list is requested.
+#[test]
+fn changes_older_than_the_list_in_force_are_ignored() {
+    let address = "127.77.0.43:7001";
+    with_discovery(address, Mode::Polled, |limiter, discovery| async move {
+        let first = discovery.accept().await;
+        let watch = first.answer_and_wait(full_list(4, "SERVING")).await;
+        assert_eq!(next_list(&limiter).await, applied(4, HostState::Ready));
+        let full_request = watch.answer_and_wait(changes(3, "DRAINING")).await;
+        assert_eq!(full_request.path, "/discovery/hosts");
+        let watch = full_request.answer_and_wait(full_list(7, "SERVING")).await;
+        assert_eq!(next_list(&limiter).await, applied(7, HostState::Ready));
+        assert!(watch.path.contains("index=7"), "{}", watch.path);
+    });
+}
+
+/// A discovery that answers the request for the full list with old changes is called again on another connection after
+/// a pause, and not in a loop on this one.
+#[test]
+fn old_changes_in_answer_to_the_full_list_end_the_connection() {
+    let address = "127.77.0.44:7001";
+    with_discovery(address, Mode::Polled, |limiter, discovery| async move {
+        let first = discovery.accept().await;
+        let watch = first.answer_and_wait(full_list(4, "SERVING")).await;
+        let full_request = watch.answer_and_wait(changes(3, "DRAINING")).await;
+        let stream = full_request.answer(changes(3, "DRAINING")).await;
+        let further = timeout(NOTIFIED_WITHIN, next_request(stream)).await;
+        assert!(
+            further.expect("the connection ends").is_none(),
+            "no further request on this connection"
+        );
+        let reopened = timeout(NOTIFIED_WITHIN, discovery.accept()).await;
+        assert!(reopened.expect("the watch is opened again").is_watch());
+        assert_eq!(next_list(&limiter).await, applied(4, HostState::Ready));
+        assert!(limiter.engine().take_event().is_none());
+    });
+}
--- a/src/net/discovery/tests.rs
+++ b/src/net/discovery/tests.rs
@@ -1,4 +1,4 @@
-//! Lists that are applied, maintenance above them, and a watch that is lost.
+//! Lists that are applied, maintenance that overrides them, and a watch that is lost.
 
 use super::*;
 use crate::api::{Event, HostState, ListMode};
@@ -61,7 +61,7 @@
     }
 }
 
-/// A watch whose answer is lost: the next check of the full list finds what changed, and a list that is no newer than
+/// The answer to a watch is lost: the next check of the full list finds the change, and a list that is no newer than
 /// the one in force changes nothing.
 #[test]
 fn changes_missed_by_a_lost_watch_are_found_by_the_check() {
@@ -122,7 +122,7 @@
     });
 }
 
-/// However many hosts come and go, only those that are listed or have left just now are remembered.
+/// After any number of replaced hosts, only those that are listed or have left just now are remembered.
 #[test]
 fn names_of_gone_hosts_are_forgotten() {
     with_limiter(&[], |limiter| async move {
--- a/src/net/engine/tests.rs
+++ b/src/net/engine/tests.rs
@@ -27,7 +27,7 @@
     }
 }
 
-/// A place for an answer that nobody looks at.
+/// A place for an answer that the test does not read.
 pub(crate) fn no_reply() -> ReplyTo {
     reply_to(&Rc::new(RecordingFrontend::default()), 0)
 }
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn two_clocks_agree_and_never_go_back() {
+fn clocks_show_unix_time_and_never_go_back() {
     let (one, two, now) = (Clock::new(), Clock::new(), Instant::now());
     assert!(one.at(now).abs_diff(two.at(now)) < 50_000_000);
     assert!(one.at(now + Duration::from_millis(3)) >= one.at(now) + 3_000_000);
@@ -81,10 +81,10 @@
     );
 }
 
-/// Attempts are numbered in the order of their orders, time-outs are cut to the deadline, and what must not be sent is
-/// not.
+/// Attempts are numbered in the order of their orders, timeouts end at the deadline, and no attempt begins past the
+/// limit or the deadline.
 #[test]
-fn attempts_keep_to_cap_and_deadline() {
+fn attempts_keep_to_their_limit_and_deadline() {
     with_limiter(&[], |limiter| async move {
         let (mut requests, now) = (limiter.engine().requests().borrow_mut(), Instant::now());
         let deadline = requests.open(no_reply(), &mut request(1), now);
@@ -98,7 +98,9 @@
                 timeout,
                 ..attempt_order(1, host)
             };
-            let call = requests.begin_attempt(order, now).expect("within the cap");
+            let call = requests
+                .begin_attempt(order, now)
+                .expect("within the limit");
             let expected = if timeout == 1_000_000 {
                 now + Duration::from_millis(1)
             } else {
--- a/src/net/frontend/tests.rs
+++ b/src/net/frontend/tests.rs
@@ -1,4 +1,4 @@
-//! A frontend of any protocol needs its context alone.
+//! A frontend of any protocol works with its context alone.
 
 use super::*;
 use crate::api::Event;
@@ -7,9 +7,9 @@
 use crate::net::stages::complete;
 use crate::net::tests::{next, with_limiter};
 
-/// What a frontend hands in reaches the engine and is answered once, and what its client abandons is reported.
+/// Requests of a frontend reach the engine and are answered once, and abandoned ones are reported.
 #[test]
-fn a_second_frontend_needs_its_context_alone() {
+fn frontend_works_with_its_context_alone() {
     with_limiter(&[], |limiter| async move {
         let context = limiter.pipeline().frontend_context();
         let frontend = Rc::new(RecordingFrontend::default());
@@ -20,7 +20,7 @@
         };
         hand_in(7, 1);
         hand_in(8, 2);
-        // An id that is open already is no second request.
+        // The id of an open request is refused.
         hand_in(9, 1);
         assert_eq!(*frontend.0.borrow(), [(9, Answer::Failed)]);
         context.handler.abandon_request(RequestId(2));
--- a/src/net/hot_restart/listener_handover/tests.rs
+++ b/src/net/hot_restart/listener_handover/tests.rs
@@ -16,9 +16,9 @@
         .expect("it listens")
 }
 
-/// What becomes of a connection in a queue that is closed, and that none gets there once the other is steered to.
+/// A closed queue resets the connections in it; after the handover no connection is queued at the first process.
 #[test]
-fn a_closed_queue_resets_what_it_holds_and_steering_keeps_it_empty() {
+fn redirected_connections_survive_the_close_of_the_first_listener() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -28,19 +28,19 @@
     let at = first.local_addr().expect("it has an address");
     let waiting = TcpStream::connect(at).expect("it is queued");
     let second = listen(at);
-    redirect_to_second(&first).expect("the kernel steers");
-    let steered: Vec<_> = (0..50)
+    redirect_to_second(&first).expect("the kernel supports it");
+    let redirected: Vec<_> = (0..50)
         .map(|_| TcpStream::connect(at).expect("it is queued"))
         .collect();
     drop(first);
     assert!(
         waiting.peek(&mut [0]).is_err(),
-        "what nobody accepted is reset"
+        "a connection that was not accepted is reset"
     );
-    for _ in &steered {
-        second.accept().expect("all of them are here");
+    for _ in &redirected {
+        second.accept().expect("all of them are queued here");
     }
-    // The first is gone: the second is the only one, and gets them all the same.
+    // With the first listener closed, the second gets all connections.
     let _late = TcpStream::connect(at).expect("it is queued");
-    second.accept().expect("it is here");
+    second.accept().expect("it is queued here");
 }
--- a/src/net/limiter/tests.rs
+++ b/src/net/limiter/tests.rs
@@ -1,4 +1,4 @@
-//! What the tests of all parts share: a limiter on a thread of its own, and access to its parts.
+//! The harness of the tests of all parts: a limiter on a thread of its own, and access to its parts.
 
 use super::*;
 use crate::api::Event;
@@ -43,7 +43,7 @@
         &self.pipeline
     }
 
-    /// Ends in order, as the process does.
+    /// Ends as the process does.
     pub(crate) async fn end(&self) {
         self.finish().await;
     }
--- a/src/net/peers/tests.rs
+++ b/src/net/peers/tests.rs
@@ -67,7 +67,7 @@
 #[tokio::test(flavor = "current_thread")]
 async fn datagram_arrives_with_kind_sender_and_payload() {
     let pair = pair().await;
-    // The runtime learns only after a moment that a new socket is writable; what is sent before is lost.
+    // The runtime learns only after a moment that a new socket is writable; datagrams sent before are lost.
     let writable = pair.first.socket.writable().await;
     writable.expect("the socket is open");
     pair.first.send(1, DatagramKind::UsageExport, b"want");
--- a/src/net/reload.rs
+++ b/src/net/reload.rs
@@ -22,7 +22,7 @@
 use tokio::time::sleep;
 
 #[cfg(test)]
-mod crossings;
+mod race_tests;
 #[cfg(test)]
 mod tests;
 
--- a/src/net/reload/crossings.rs
+++ b/src/net/reload/race_tests.rs
@@ -1,21 +1,21 @@
-//! Settings that change while requests are under way: nothing of the old ones outlives them under another's name or
-//! index.
+//! Settings that change while requests are open: no class or plan gets the index or the name of another one.
 
-use super::*;
-use crate::api::{HostId, Outcome, ReportSource};
+use crate::api::{Event, HostId, Outcome, ReportSource};
+use crate::net::config;
 use crate::net::engine::tests::{attempt_order, no_reply, request};
 use crate::net::engine::{HostCall, HostCommand};
 use crate::net::resp::codec;
 use crate::net::resp::upstream::interpret;
 use crate::net::tests::{next, with_limiter};
 use crate::net::Limiter;
+use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::Instant;
 
 const TOY: &str = include_str!("../../../examples/toy.json");
 
-/// Takes a file in, which is sound.
-fn take(limiter: &Rc<Limiter>, text: &str) {
+/// Reloads a file, which is sound.
+fn reload(limiter: &Rc<Limiter>, text: &str) {
     let read = config::parse_replacement(
         &limiter.reloader().active_config.file.borrow(),
         text,
@@ -25,8 +25,8 @@
     limiter.reloader().apply(read);
 }
 
-/// An attempt of a request that is under way.
-fn under_way(limiter: &Rc<Limiter>, id: u64) -> HostCall {
+/// An attempt of a request that is open.
+fn begin_attempt(limiter: &Rc<Limiter>, id: u64) -> HostCall {
     let now = Instant::now();
     let mut requests = limiter.engine().requests().borrow_mut();
     requests.open(no_reply(), &mut request(id), now);
@@ -35,12 +35,12 @@
         .expect("within the cap")
 }
 
-/// How long pooled connections are kept, and where hosts tell their load, follow the new file; requests under way end
-/// by it too.
+/// How long pooled connections are kept, and where hosts report their load, follow the new file, also for the attempts
+/// of open requests.
 #[test]
-fn what_holds_for_hosts_follows_the_new_settings() {
+fn settings_of_host_connections_follow_a_reload() {
     with_limiter(&[], |limiter| async move {
-        let attempt = under_way(&limiter, 1);
+        let attempt = begin_attempt(&limiter, 1);
         assert!(matches!(attempt.command, HostCommand::Attempt { .. }));
         let answer = b"*3\r\n$3\r\nbed\r\n$-1\r\n$10\r\ninflight=7\r\n";
         let load = || {
@@ -56,7 +56,7 @@
         let idle = || limiter.limits().upstream.idle_timeout.get();
         assert_eq!((load(), idle()), (0, Duration::from_secs(15)));
         let new = TOY.replace("\"how\": \"none\"", "\"how\": \"answers\"");
-        take(
+        reload(
             &limiter,
             &new.replace("\"connIdleNs\": 30000000000", "\"connIdleNs\": 4000000000"),
         );
@@ -69,36 +69,36 @@
     });
 }
 
-/// Classes and plans in another order, and one under the other's name: each number goes on to stand for what it stood
-/// for, with its deadline and effect, and each name for what the new file says.
+/// Classes and plans in another order, and one under the name of another: each index keeps its meaning, with its
+/// deadline and effect, and each name gets the meaning of the new file.
 #[test]
-fn a_file_in_another_order_moves_nothing_under_another_s_index() {
+fn reordered_classes_keep_their_indices() {
     with_limiter(&[], |limiter| async move {
         let named = |name: &str| {
             let catalog = limiter.reloader().active_config.catalog.borrow();
             catalog.class(name).map(|entry| entry.index)
         };
         assert_eq!((named("bed-check"), named("bed-hold")), (Some(0), Some(1)));
-        // The names change places: what was safe to repeat is now called as what was not.
+        // The two classes exchange their names.
         let new = TOY
             .replace("bed-check", "x")
             .replace("bed-hold", "bed-check")
             .replace("\"x\"", "\"bed-hold\"");
-        take(&limiter, &new);
+        reload(&limiter, &new);
         let Event::SettingsChanged { settings } = next(&limiter).await else {
-            panic!("not told")
+            panic!("the engine gets the settings")
         };
         let old = config::parse(TOY, |_| None).expect("sound").settings;
         assert_eq!(
             settings.classes[..2],
             old.classes[..],
-            "who was taken before goes on under its own terms"
+            "requests accepted before keep their terms"
         );
         let (check, hold) = (
-            named("bed-check").expect("heard"),
-            named("bed-hold").expect("heard"),
+            named("bed-check").expect("accepted"),
+            named("bed-hold").expect("accepted"),
         );
-        assert!(check > 1 && hold > 1, "new terms have new numbers");
+        assert!(check > 1 && hold > 1, "new terms have new indices");
         let (check, hold) = (
             &settings.classes[check as usize],
             &settings.classes[hold as usize],
@@ -111,10 +111,10 @@
             (hold.effect, hold.deadline),
             (old.classes[0].effect, old.classes[0].deadline)
         );
-        // And back: the numbers of the first file are had again.
-        take(&limiter, TOY);
+        // The first file again: its classes get their first indices back.
+        reload(&limiter, TOY);
         let Event::SettingsChanged { settings } = next(&limiter).await else {
-            panic!("not told")
+            panic!("the engine gets the settings")
         };
         assert_eq!(settings.classes[..2], old.classes[..]);
         assert_eq!((named("bed-check"), named("bed-hold")), (Some(0), Some(1)));
--- a/src/net/reload/tests.rs
+++ b/src/net/reload/tests.rs
@@ -1,4 +1,4 @@
-//! What a new configuration changes, and that a faulty one changes nothing.
+//! A sound configuration is applied as a whole, and a faulty one changes nothing.
 
 use super::*;
 use crate::net::tests::with_limiter;
@@ -14,7 +14,7 @@
 
 const TOY: &str = include_str!("../../../examples/toy.json");
 
-fn again(limiter: &Limiter, text: &str) -> Result<Config, ConfigError> {
+fn read_again(limiter: &Limiter, text: &str) -> Result<Config, ConfigError> {
     config::parse_replacement(
         &limiter.reloader().active_config.file.borrow(),
         text,
@@ -22,18 +22,18 @@
     )
 }
 
-/// A sound file is taken whole; requests of a class that is gone are heard for a moment, then no more.
+/// Requests of a class that the new file lacks are accepted for a short time, and then refused.
 #[test]
-fn classes_and_attempts_change_while_the_program_runs() {
+fn sound_file_changes_classes_and_attempts() {
     with_limiter(&[], |limiter| async move {
         let text = TOY.replace(
             "\"bed-hold\", \"effect\": \"dedup\"",
             "\"hut-hold\", \"effect\": \"fragile\"",
         );
         let text = text.replace("\"sendCap\": 4", "\"sendCap\": 2");
-        limiter.reloader().apply(again(&limiter, &text));
+        limiter.reloader().apply(read_again(&limiter, &text));
         let Event::SettingsChanged { settings } = crate::net::tests::next(&limiter).await else {
-            panic!("not told")
+            panic!("the engine gets the settings")
         };
         let names: Vec<_> = settings
             .classes
@@ -68,21 +68,21 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 256, rng_seed: proptest::test_runner::RngSeed::Fixed(7), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever is cut off, whichever line is lost and whatever number turns to nought: nothing of it is taken.
+    /// A file that is cut off, lacks a line or has a negative number changes nothing.
     #[test]
-    fn a_broken_file_changes_nothing(end in 0..TOY.len() - 3, line in 1..TOY.lines().count() - 1, what in 0..3) {
-        let broken = match what {
+    fn faulty_file_changes_nothing(end in 0..TOY.len() - 3, line in 1..TOY.lines().count() - 1, damage in 0..3) {
+        let broken = match damage {
             0 => TOY[..end].to_owned(),
             1 => TOY.lines().enumerate().filter(|(i, _)| *i != line).map(|(_, text)| text.to_owned() + "\n").collect(),
             _ => TOY.replacen("\"hardLimitNs\": ", "\"hardLimitNs\": -", 1 + end % 2),
         };
-        // Lines that a file may lose leave it whole; one is a whole plan, which may vanish.
-        let gone = TOY.lines().nth(line).unwrap_or_default();
-        let may = ["\"seed\"", "\"known\"", "\"guide\""].iter().any(|key| gone.contains(key));
+        // A file without one of these lines is sound; one of them is a whole plan.
+        let missing = TOY.lines().nth(line).unwrap_or_default();
+        let may_be_missing = ["\"seed\"", "\"known\"", "\"guide\""].iter().any(|key| missing.contains(key));
         with_limiter(&[], |limiter| async move {
             let before = (*limiter.reloader().addresses().borrow(), limiter.reloader().active_config.file.borrow().clone());
-            let read = again(&limiter, &broken);
-            assert!(read.is_err() || (what == 1 && may), "{broken}");
+            let read = read_again(&limiter, &broken);
+            assert!(read.is_err() || (damage == 1 && may_be_missing), "{broken}");
             if read.is_ok() {
                 return;
             }
--- a/src/net/resp/downstream/tests.rs
+++ b/src/net/resp/downstream/tests.rs
@@ -1,4 +1,4 @@
-//! Which commands are requests.
+//! Parsing of requests.
 
 use super::request_parser::{parse_client_command, ClientCommand, CommandError};
 use super::*;
@@ -7,7 +7,7 @@
 use quartzcleat_admin::ClassIndices;
 use std::time::Duration;
 
-/// What requests are checked against.
+/// The configuration that requests are checked against.
 struct Checked {
     limits: Limits,
     catalog: RequestCatalog,
@@ -22,7 +22,7 @@
     }
 }
 
-/// The wait of a request, or why it is refused.
+/// The wait of a request, or the error that it is refused with.
 fn wait_of(
     checked: &Checked,
     verb: &str,
@@ -34,7 +34,7 @@
     codec::write_command(&[verb, customer, id, facts].map(str::as_bytes), &mut bytes);
     let command = codec::parse_command(&bytes, &checked.limits)
         .expect("well-formed")
-        .expect("whole");
+        .expect("complete");
     match parse_client_command(&bytes, &command, &checked.catalog, true)? {
         ClientCommand::Request(request) => Ok(request.wait),
         _ => panic!("{verb} is for a host"),
@@ -46,7 +46,7 @@
 const CHECK: &str = "c=bed-check,t=guide,d=900,units=6,spread=3,first=2";
 const HOLD: &str = "c=bed-hold,t=operator,d=900,k=5c0f6e1a2b3d4c59,r=1,units=0.25,spread=1,first=0";
 
-/// A text in the facts of a sound request, and what makes them unusable in its place.
+/// Replacements in the facts of a sound request, each of which makes them unusable.
 const UNUSABLE_FACTS: [(&str, &str); 22] = [
     ("c=bed-check,", ""),
     ("bed-check", "bed-chec"),
@@ -78,7 +78,7 @@
     checked(&text.replace("\"balancers\": 1", "\"balancers\": 3"))
 }
 
-/// Every form that the protocol has is accepted, and nobody waits for longer than the class.
+/// Every form of the protocol is accepted, and the wait is bounded by the deadline of the class.
 #[test]
 fn usable_requests_are_accepted() {
     let checked = three_limiters();
@@ -93,7 +93,7 @@
     }
 }
 
-/// What no host could use is refused.
+/// Requests that no host could use are refused.
 #[test]
 fn unusable_requests_are_refused() {
     let checked = three_limiters();
--- a/src/net/resp/tests.rs
+++ b/src/net/resp/tests.rs
@@ -1,4 +1,4 @@
-//! What the runtime has not been told of a socket yet, forced: bytes come while its one thread does something else.
+//! Bytes and ends of connections that the kernel has and the runtime does not know of yet.
 
 use super::close::{close_in_order, read_now, SocketState};
 use super::upstream::UpstreamConnection;
@@ -7,25 +7,25 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// A connection whose other end is moved by hand, and of which the runtime has learned that nothing has come.
-async fn pair() -> (TcpStream, Blocking) {
+/// A connection that the runtime knows to be empty, and its other end, which the test controls.
+async fn connected_pair() -> (TcpStream, Blocking) {
     let listener = TcpListener::bind("127.0.0.1:0")
         .await
         .expect("a port is free");
     let address = listener.local_addr().expect("it has an address");
     let peer = std::thread::spawn(move || Blocking::connect(address).expect("it connects"));
-    let (stream, _) = listener.accept().await.expect("it comes");
+    let (stream, _) = listener.accept().await.expect("it is accepted");
     let peer = peer.join().expect("it has connected");
     stream
         .writable()
         .await
         .expect("the runtime has looked at it");
-    assert!(stream.try_read(&mut [0]).is_err(), "nothing has come");
+    assert!(stream.try_read(&mut [0]).is_err(), "nothing was received");
     (stream, peer)
 }
 
-/// Waits, without letting the runtime look, until something is to be read on a connection.
-fn has_come(stream: &TcpStream) {
+/// Waits until the kernel has something to read on a connection, without polling the runtime.
+fn wait_for_kernel(stream: &TcpStream) {
     use nix::sys::socket::{recv, MsgFlags};
     use std::os::fd::AsRawFd;
     while recv(
@@ -46,52 +46,54 @@
     runtime.expect("a runtime starts").block_on(test);
 }
 
-/// A command that comes in the moment in which its connection is about to be closed is seen.
+/// A command that arrives just before its connection is closed is seen.
 #[test]
-fn a_last_look_sees_what_the_runtime_does_not_know_of() {
+fn read_now_sees_bytes_and_ends_that_the_runtime_does_not_know_of() {
     run(async {
-        let (stream, mut peer) = pair().await;
+        let (stream, mut peer) = connected_pair().await;
         let mut bytes = [0; 8];
         assert_eq!(read_now(&stream, &mut bytes), SocketState::Empty);
-        peer.write_all(b"PING").expect("it is taken");
-        has_come(&stream);
+        peer.write_all(b"PING").expect("the socket takes it");
+        wait_for_kernel(&stream);
         assert_eq!(
             (read_now(&stream, &mut bytes), &bytes[..4]),
             (SocketState::Read(4), &b"PING"[..])
         );
         drop(peer);
-        has_come(&stream);
+        wait_for_kernel(&stream);
         assert_eq!(read_now(&stream, &mut bytes), SocketState::Closed);
     });
 }
 
-/// A host that closes a pooled connection in the moment in which it is taken: nothing is written to it.
+/// A host closes a pooled connection just before a call takes it: the connection is not quiet.
 #[test]
-fn a_pooled_connection_that_ended_a_moment_ago_is_not_quiet() {
+fn pooled_connection_that_was_just_closed_is_not_quiet() {
     run(async {
-        let (stream, peer) = pair().await;
+        let (stream, peer) = connected_pair().await;
         let address = stream.peer_addr().expect("an address");
-        let link = UpstreamConnection::new(stream, address);
-        assert!(link.is_quiet());
+        let connection = UpstreamConnection::new(stream, address);
+        assert!(connection.is_quiet());
         drop(peer);
-        has_come(&link.stream);
-        assert!(!link.is_quiet());
+        wait_for_kernel(&connection.stream);
+        assert!(!connection.is_quiet());
     });
 }
 
-/// Bytes that come behind the end of a connection do not take along what was written before it.
+/// Unread bytes at the close of a connection do not destroy the answer that was written before.
 #[test]
-fn what_was_written_last_arrives_despite_unread_bytes() {
+fn last_answer_arrives_despite_unread_bytes() {
     run(async {
-        let (stream, mut peer) = pair().await;
-        peer.write_all(b"unread").expect("it is taken");
+        let (stream, mut peer) = connected_pair().await;
+        peer.write_all(b"unread").expect("the socket takes it");
         assert_eq!(
-            stream.try_write(b"the last answer").expect("it is taken"),
+            stream
+                .try_write(b"the last answer")
+                .expect("the socket takes it"),
             15
         );
         let reader = std::thread::spawn(move || {
             peer.write_all(&[7; 1 << 20])
-                .expect("it is taken, and dropped");
+                .expect("it is read, and dropped");
             let mut text = String::new();
             peer.read_to_string(&mut text).map(|_| text)
         });
--- a/src/net/resp/upstream/tests.rs
+++ b/src/net/resp/upstream/tests.rs
@@ -1,4 +1,4 @@
-//! Commands, replies, and which connections carry calls.
+//! Commands, replies, and the connections that carry calls.
 
 use super::*;
 use crate::api::{CustomerId, HostEntry, HostId, HostState, Outcome, ReportSource, RequestId};
@@ -17,7 +17,7 @@
     limits
 }
 
-/// The arguments go on as they came, but for the wait, whose length may change.
+/// The arguments are forwarded unchanged, but for the wait, whose length may change.
 #[test]
 fn only_the_wait_is_rewritten() {
     with_limiter(&[], |limiter| async move {
@@ -99,7 +99,7 @@
     parsed.expect("well-formed").expect("whole").reply
 }
 
-/// What is good, and after what the connection may be used again.
+/// Only a complete, well-formed value is a good outcome, and only after a known form the connection is used again.
 #[test]
 fn only_a_complete_well_formed_value_is_good() {
     with_limiter(&[], |limiter| async move {
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn bytes_that_begin_no_reply_are_not_awaited() {
+fn bytes_that_begin_no_reply_are_recognized() {
     for bytes in ["", "*3\r", "*3\r\n$9", "-E"] {
         assert!(may_become_reply(bytes.as_bytes(), &attempt()), "{bytes:?}");
     }
@@ -133,7 +133,7 @@
     }
 }
 
-/// Figures on usage are read whatever the load report is; figures that are out of range count as missing.
+/// Figures on usage are read beside any load report, also a malformed one; figures out of range count as missing.
 #[test]
 fn usage_figures_are_read_from_answers() {
     with_limiter(&[], |limiter| async move {
@@ -162,9 +162,9 @@
     });
 }
 
-/// For a moment after its answer a connection is not used again: more may follow.
+/// For a moment after its answer a connection is not used again: more bytes may follow.
 #[test]
-fn a_connection_rests_after_an_answer() {
+fn connection_is_not_reused_right_after_an_answer() {
     with_limiter(&[], |limiter| async move {
         let (upstream, address) = (
             limiter.upstream(),
@@ -187,7 +187,7 @@
             .begin_attempt(attempt_order(1, HostId(5)), now);
         let mut parked = upstream
             .add_idle(HostId(5), address)
-            .expect("it may wait")
+            .expect("the host is ready")
             .next_call;
         let back = upstream.send_on_idle(call.expect("within the cap"), limiter.limits());
         let call = back.expect_err("it answered just now");
@@ -197,9 +197,9 @@
     });
 }
 
-/// A call that was decided before a drain goes out for the drain grace only.
+/// A call that was decided before a drain is sent within the drain grace only.
 #[test]
-fn a_host_that_drains_is_soon_sent_nothing() {
+fn draining_host_gets_no_calls_past_the_drain_grace() {
     with_limiter(&[], |limiter| async move {
         let (upstream, address) = (
             limiter.upstream(),
@@ -213,11 +213,13 @@
         let drained = limits_without_drain_grace(limiter.limits());
         upstream.update_host(&entry(HostState::Ready), address);
         assert_eq!(upstream.address(HostId(5), &drained), Some(address));
-        let parked = upstream.add_idle(HostId(5), address).expect("it may wait");
+        let parked = upstream
+            .add_idle(HostId(5), address)
+            .expect("the host is ready");
         upstream.retain_listed(&[]);
         assert_eq!(upstream.address(HostId(5), limiter.limits()), Some(address));
         assert_eq!(upstream.address(HostId(5), &drained), None);
-        // Its idle connections are let go, and it gets no new ones.
+        // Its idle connections are closed, and no new ones are kept.
         assert!(parked.next_call.await.is_err());
         assert!(upstream.add_idle(HostId(5), address).is_none());
         upstream.update_host(&entry(HostState::Ready), address);
@@ -225,9 +227,9 @@
     });
 }
 
-/// What is gone is forgotten once nothing may be sent there; what drains is not.
+/// Hosts that are gone are forgotten past the drain grace; draining hosts are not.
 #[test]
-fn hosts_that_are_gone_are_forgotten() {
+fn gone_hosts_are_forgotten_past_the_drain_grace() {
     with_limiter(&[], |limiter| async move {
         let (upstream, address) = (
             limiter.upstream(),
@@ -245,7 +247,7 @@
         upstream.forget_gone_hosts(limiter.limits());
         assert!(
             (1..5).all(|id| upstream.contains_host(HostId(id))),
-            "what was decided before may still go out"
+            "calls decided before may still be sent"
         );
         upstream.forget_gone_hosts(&over);
         assert_eq!(
--- a/src/net/shutdown/tests.rs
+++ b/src/net/shutdown/tests.rs
@@ -1,4 +1,4 @@
-//! Requests under way while the program ends.
+//! Requests that are open while the process shuts down.
 
 use super::*;
 use crate::api::{Event, RequestId};
@@ -11,52 +11,50 @@
 
 const LONG: Duration = Duration::from_secs(60);
 
-/// The end was asked for just now, and comes in a moment.
-fn asked(limiter: &Rc<Limiter>, end: Duration) {
-    limiter.limits().shutdown.timeout.set(end);
+/// Starts the shutdown of a process that has to be gone after `timeout`.
+fn start_shutdown(limiter: &Rc<Limiter>, timeout: Duration) {
+    limiter.limits().shutdown.timeout.set(timeout);
     limiter.shutdown().asked_at.set(Some(Instant::now()));
 }
 
-/// A request that is taken after SIGTERM and may wait for longer than the program lives has its answer before.
+/// A request that is accepted after SIGTERM, and whose client waits for longer than the process lives, is answered
+/// before the process ends.
 #[test]
-fn what_is_taken_after_sigterm_is_answered_while_the_program_lives() {
+fn deadline_of_a_request_after_sigterm_is_before_the_end_of_the_process() {
     with_limiter(&[], |limiter| async move {
-        let (front, mut asks) = (Rc::new(RecordingFrontend::default()), request(1));
-        asks.wait = LONG;
-        asked(&limiter, Duration::from_secs(3));
+        let (frontend, mut long_request) = (Rc::new(RecordingFrontend::default()), request(1));
+        long_request.wait = LONG;
+        start_shutdown(&limiter, Duration::from_secs(3));
         let before = Instant::now();
-        accept::accept(limiter.pipeline(), front.clone(), 0, asks);
+        accept::accept(limiter.pipeline(), frontend.clone(), 0, long_request);
         let last = limiter
             .shutdown()
             .last_answers(limiter.limits())
-            .expect("the end was asked for");
+            .expect("the shutdown has started");
         match next(&limiter).await {
             Event::Request { budget, .. } => {
-                assert!(budget > 2_000_000_000, "it has its time up to then");
-                assert!(
-                    before + Duration::from_nanos(budget) <= last,
-                    "and no more, whenever it came"
-                );
+                assert!(budget > 2_000_000_000, "it has time up to the last answers");
+                assert!(before + Duration::from_nanos(budget) <= last, "and no more");
             }
             other => panic!("{other:?}"),
         }
     });
 }
 
-/// Whatever was taken before and is open as the program ends is answered, with time left for the answer to go out.
+/// A request that is open when the process has to end is answered, with time left for the client to read the answer.
 #[test]
-fn what_is_open_as_the_program_ends_is_answered_first() {
+fn open_request_is_answered_before_the_process_ends() {
     with_limiter(&[], |limiter| async move {
-        let (front, mut asks) = (Rc::new(RecordingFrontend::default()), request(1));
-        asks.wait = LONG;
-        accept::accept(limiter.pipeline(), front.clone(), 9, asks);
+        let (frontend, mut long_request) = (Rc::new(RecordingFrontend::default()), request(1));
+        long_request.wait = LONG;
+        accept::accept(limiter.pipeline(), frontend.clone(), 9, long_request);
         assert!(matches!(next(&limiter).await, Event::Request { .. }));
-        // Much time for the answer to go out, on however busy a machine.
+        // Much time for the client to read the answer, also on a busy machine.
         limiter.limits().shutdown.final_answer_margin.set(LONG);
-        asked(&limiter, LONG + Duration::from_millis(200));
+        start_shutdown(&limiter, LONG + Duration::from_millis(200));
         let connection = limiter.shutdown().count_connection();
-        let (closing, answered) = (limiter.clone(), front.clone());
-        // The client's connection ends as it has its answer.
+        let (closing, answered) = (limiter.clone(), frontend.clone());
+        // The client's connection ends once it has its answer.
         spawn(async move {
             while answered.0.borrow().is_empty() {
                 sleep(closing.limits().requests.deadline_margin).await;
@@ -64,7 +62,7 @@
             drop(connection);
         });
         limiter.end().await;
-        assert_eq!(*front.0.borrow(), [(9, Answer::Failed)]);
+        assert_eq!(*frontend.0.borrow(), [(9, Answer::Failed)]);
         assert_eq!(limiter.shutdown().connections(), 0, "not cut off");
         assert!(matches!(
             next(&limiter).await,
--- a/src/net/stages/attempt/tests.rs
+++ b/src/net/stages/attempt/tests.rs
@@ -1,4 +1,4 @@
-//! Answers that are malformed, doubled or cut.
+//! Answers that are malformed, repeated or cut off.
 
 use super::*;
 use crate::api::{HostEntry, HostId, HostState};
@@ -7,9 +7,9 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// A malformed answer is an error at once or soon, long before the request's deadline, and ends the connection.
+/// A malformed answer is an error long before the request's deadline, and ends the connection.
 #[test]
-fn a_malformed_answer_is_not_waited_for() {
+fn malformed_answer_ends_the_call_before_its_deadline() {
     with_limiter(&[], |limiter| async move {
         let listener = TcpListener::bind("127.0.0.1:0")
             .await
--- a/src/net/stages/complete/tests.rs
+++ b/src/net/stages/complete/tests.rs
@@ -7,9 +7,9 @@
 use crate::net::tests::{next, with_limiter};
 use tokio::time::Instant;
 
-/// The first good attempt answers the client; a later one is reported to the engine and to nobody else.
+/// The first good attempt answers the client; a later one is reported to the engine only.
 #[test]
-fn one_answer_whatever_comes() {
+fn only_the_first_good_attempt_answers_the_client() {
     with_limiter(&[], |limiter| async move {
         let (frontend, now) = (Rc::new(RecordingFrontend::default()), Instant::now());
         let (engine, pipeline) = (limiter.engine(), limiter.pipeline());
--- a/src/net/stages/tests.rs
+++ b/src/net/stages/tests.rs
@@ -1,4 +1,4 @@
-//! Crossings of a request's stages, forced on real sockets.
+//! Races between the stages of a request, forced on real sockets.
 
 use super::complete::Delivery;
 use super::{attempt, complete, dispatch};
@@ -19,53 +19,53 @@
 const HOST: HostId = HostId(5);
 const LONG: Duration = Duration::from_secs(30);
 
-/// A host whose line of connections is full: a further one does not come up until those before it are taken.
-struct Slow {
+/// A host whose queue of connections is full: a further connection is not established before the host accepts.
+struct SlowHost {
     listener: TcpListener,
     address: SocketAddr,
-    before: Vec<TcpStream>,
+    queued: Vec<TcpStream>,
 }
 
-async fn slow_host(limiter: &Rc<Limiter>) -> Slow {
+async fn slow_host(limiter: &Rc<Limiter>) -> SlowHost {
     let socket = TcpSocket::new_v4().expect("a socket");
     socket
         .bind("127.0.0.1:0".parse().expect("an address"))
         .expect("a port is free");
     let listener = socket.listen(0).expect("it listens");
     let address = listener.local_addr().expect("it has an address");
-    // A line of nought takes one, and is full from then on.
-    let before = vec![TcpStream::connect(address)
+    // A queue of length zero takes one connection, and is full from then on.
+    let queued = vec![TcpStream::connect(address)
         .await
-        .expect("there is room for one")];
+        .expect("the queue takes one")];
     let entry = HostEntry {
         host: HOST,
         state: HostState::Ready,
         ..HostEntry::default()
     };
     limiter.upstream().update_host(&entry, address);
-    Slow {
+    SlowHost {
         listener,
         address,
-        before,
+        queued,
     }
 }
 
-/// Sends a request's attempt on its way to a host whose connection does not come up, however long it may take.
-async fn connecting(
+/// Sends an attempt of a request to a host whose connection is not established.
+async fn send_to_slow_host(
     limiter: &Rc<Limiter>,
     begins_within: Duration,
-) -> (Slow, Rc<RecordingFrontend>) {
+) -> (SlowHost, Rc<RecordingFrontend>) {
     limiter.limits().connect_timeout.set(LONG);
-    let (host, front) = (
+    let (host, frontend) = (
         slow_host(limiter).await,
         Rc::new(RecordingFrontend::default()),
     );
-    let mut asked = request(1);
-    asked.wait = LONG;
+    let mut slow_request = request(1);
+    slow_request.wait = LONG;
     let requests = limiter.engine().requests();
     requests
         .borrow_mut()
-        .open(reply_to(&front, 0), &mut asked, Instant::now());
+        .open(reply_to(&frontend, 0), &mut slow_request, Instant::now());
     let order = AttemptOrder {
         begins_within: begins_within.as_nanos() as Nanos,
         ..attempt_order(1, HOST)
@@ -76,13 +76,13 @@
     assert_eq!(
         limiter.upstream().connections_by_host().get(&HOST),
         Some(&1),
-        "it is on its way"
+        "the connection is being opened"
     );
-    (host, front)
+    (host, frontend)
 }
 
-/// The attempt has ended without a connection, and the host, which now takes all that come, gets nothing of it.
-async fn nothing_goes_out(limiter: &Rc<Limiter>, mut host: Slow, expected: Outcome) {
+/// Checks that the attempt ends with an outcome, and that the host, which now accepts, gets nothing of it.
+async fn assert_nothing_sent(limiter: &Rc<Limiter>, mut host: SlowHost, expected: Outcome) {
     let ended = async {
         loop {
             if let Event::AttemptDone { outcome, .. } = next(limiter).await {
@@ -92,68 +92,68 @@
     };
     let outcome = timeout(Duration::from_secs(5), ended)
         .await
-        .expect("it ends long before its time is up");
+        .expect("it ends long before its deadline");
     assert_eq!(outcome, expected);
     while limiter.upstream().connections_by_host().contains_key(&HOST) {
         yield_now().await;
     }
-    // Whatever comes up behind the one that filled the line is not the attempt's.
+    // The only connection in the queue is the one that filled it.
     let (mut first, _) = host.listener.accept().await.expect("the one before");
-    host.before.clear();
+    host.queued.clear();
     assert_eq!(first.read(&mut [0]).await.expect("its end"), 0);
     let (connected, accepted) =
         tokio::join!(TcpStream::connect(host.address), host.listener.accept());
     let (own, (_, from)) = (
-        connected.expect("there is room again"),
-        accepted.expect("it comes"),
+        connected.expect("the queue has capacity again"),
+        accepted.expect("it is accepted"),
     );
     assert_eq!(
         own.local_addr().expect("an address"),
         from,
-        "nobody else came meanwhile"
+        "no other connection was queued"
     );
 }
 
-/// A client that goes while its request's connection is on its way: no attempt begins for it.
+/// The client of a request has gone while the connection for it is being opened: no attempt begins.
 #[test]
-fn nothing_is_sent_for_a_client_that_went_while_a_connection_was_opened() {
+fn abandoned_request_is_not_sent_once_its_connection_opens() {
     with_limiter(&[], |limiter| async move {
-        let (host, front) = connecting(&limiter, LONG).await;
+        let (host, frontend) = send_to_slow_host(&limiter, LONG).await;
         complete::abandon(limiter.pipeline(), RequestId(1));
-        nothing_goes_out(&limiter, host, Outcome::Cancelled).await;
-        assert_eq!(*front.0.borrow(), []);
+        assert_nothing_sent(&limiter, host, Outcome::Cancelled).await;
+        assert_eq!(*frontend.0.borrow(), []);
     });
 }
 
-/// The same where the request was answered meanwhile: what it got is final.
+/// A request was answered while the connection for it is being opened: no attempt begins, and the answer is final.
 #[test]
-fn nothing_is_sent_for_a_request_that_was_answered_while_a_connection_was_opened() {
+fn answered_request_is_not_sent_once_its_connection_opens() {
     with_limiter(&[], |limiter| async move {
-        let (host, front) = connecting(&limiter, LONG).await;
+        let (host, frontend) = send_to_slow_host(&limiter, LONG).await;
         let delivery = complete::answer(limiter.pipeline(), RequestId(1), Answer::Failed);
         assert_eq!(delivery, Delivery::Delivered);
-        nothing_goes_out(&limiter, host, Outcome::Cancelled).await;
-        assert_eq!(*front.0.borrow(), [(0, Answer::Failed)]);
+        assert_nothing_sent(&limiter, host, Outcome::Cancelled).await;
+        assert_eq!(*frontend.0.borrow(), [(0, Answer::Failed)]);
     });
 }
 
-/// A further attempt whose connection is still on its way as the window for repeats closes: it surely never ran.
+/// The time within which an attempt may begin ends while its connection is being opened: the attempt never ran.
 #[test]
-fn no_attempt_begins_once_its_window_is_over_while_a_connection_was_opened() {
+fn late_attempt_does_not_begin_once_its_connection_opens() {
     with_limiter(&[], |limiter| async move {
-        let (host, front) = connecting(&limiter, Duration::from_millis(20)).await;
-        nothing_goes_out(&limiter, host, Outcome::ConnectFailed).await;
+        let (host, frontend) = send_to_slow_host(&limiter, Duration::from_millis(20)).await;
+        assert_nothing_sent(&limiter, host, Outcome::ConnectFailed).await;
         assert_eq!(
-            *front.0.borrow(),
+            *frontend.0.borrow(),
             [],
-            "whether it is repeated is for the module to say"
+            "the decision engine decides on a retry"
         );
     });
 }
 
-/// The same on a connection that stood ready: nothing is written.
+/// The time within which an attempt may begin is over, on an open connection: nothing is written.
 #[test]
-fn no_attempt_is_written_once_its_window_is_over() {
+fn late_attempt_is_not_written_to_an_open_connection() {
     with_limiter(&[], |limiter| async move {
         let listener = TcpListener::bind("127.0.0.1:0")
             .await
@@ -166,9 +166,9 @@
         };
         limiter.upstream().update_host(&entry, address);
         let (stream, accepted) = tokio::join!(TcpStream::connect(address), listener.accept());
-        let (mut link, (mut peer, _)) = (
+        let (mut connection, (mut peer, _)) = (
             UpstreamConnection::new(stream.expect("it connects"), address),
-            accepted.expect("it comes"),
+            accepted.expect("it is accepted"),
         );
         let now = Instant::now();
         let requests = limiter.engine().requests();
@@ -178,14 +178,14 @@
             ..attempt_order(1, HOST)
         };
         let begun = requests.borrow_mut().begin_attempt(order, now);
-        let sent = begun.expect("within the cap");
-        while Instant::now() < sent.send_by {}
-        let end = attempt::run(limiter.pipeline(), &mut link, &sent).await;
+        let call = begun.expect("within the cap");
+        while Instant::now() < call.send_by {}
+        let end = attempt::run(limiter.pipeline(), &mut connection, &call).await;
         assert_eq!(
-            (end.result.outcome, end.reusable, link.command_sent),
+            (end.result.outcome, end.reusable, connection.command_sent),
             (Outcome::ConnectFailed, false, false)
         );
-        drop(link);
+        drop(connection);
         assert_eq!(
             peer.read(&mut [0]).await.expect("its end"),
             0,
--- a/src/net/streaming_body/tests.rs
+++ b/src/net/streaming_body/tests.rs
@@ -1,9 +1,9 @@
-//! The bound of the buffer, and how its end is reported.
+//! The bound of the buffer, and the report of its end.
 
 use super::*;
 
 #[test]
-fn no_more_is_buffered_than_the_capacity_and_all_is_released() {
+fn buffer_keeps_to_its_capacity_and_is_released() {
     let buffered = Rc::new(Cell::new(0));
     let (body, mut output, mut total) =
         (StreamingBody::new(100, 8, buffered.clone()), Vec::new(), 0);
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_failure_is_reported_after_what_was_written() {
+fn failure_is_reported_after_the_written_bytes() {
     let (body, mut output) = (StreamingBody::new(100, 8, Rc::default()), vec![0; 6]);
     body.write(&[1, 2, 3]);
     body.fail();
