--- a/src/net/engine/open_requests.rs
+++ b/src/net/engine/open_requests.rs
@@ -33,6 +33,22 @@
     pub begins_within: Nanos,
 }
 
+impl AttemptOrder {
+    /// When the attempt is given up, `request_deadline` at the latest.
+    fn deadline(&self, now: Instant, request_deadline: Instant) -> Instant {
+        match self.timeout {
+            0 => request_deadline,
+            timeout => request_deadline.min(now + Duration::from_nanos(timeout)),
+        }
+    }
+
+    /// By when the command is written completely, `deadline` at the latest.
+    fn send_by(&self, now: Instant, deadline: Instant) -> Instant {
+        now.checked_add(Duration::from_nanos(self.begins_within))
+            .map_or(deadline, |send_by| send_by.min(deadline))
+    }
+}
+
 /// An attempt must not be made.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 #[error("attempt {attempt} must not be made")]
@@ -188,13 +204,8 @@
         if attempt >= self.max_attempts || now >= open.deadline {
             return Err(AttemptNotAllowed { attempt });
         }
-        let deadline = match order.timeout {
-            0 => open.deadline,
-            timeout => open.deadline.min(now + Duration::from_nanos(timeout)),
-        };
-        let send_by = now
-            .checked_add(Duration::from_nanos(order.begins_within))
-            .map_or(deadline, |send_by| send_by.min(deadline));
+        let deadline = order.deadline(now, open.deadline);
+        let send_by = order.send_by(now, deadline);
         let cancellation = Rc::new(Cancellation::default());
         let attempt_id = AttemptId {
             request: order.id,
--- a/src/net/hot_restart/mod.rs
+++ b/src/net/hot_restart/mod.rs
@@ -7,10 +7,12 @@
 
 pub mod listener_handover;
 mod local_process;
+mod seen_states;
 mod shared_folder;
 
 pub use local_process::LocalProcess;
 
+use self::seen_states::{Seen, SeenStates};
 use self::shared_folder::SharedFolder;
 use super::config::Limits;
 use super::discovery::DiscoveryClient;
@@ -20,7 +22,7 @@
 use crate::api::{Event, Nanos, ZoneId};
 use quartzcleat_admin::{DrainOrder, Handoff, SharedState, Successor, FORMAT_VERSION};
 use std::cell::{Cell, RefCell};
-use std::collections::{HashMap, HashSet};
+use std::collections::HashSet;
 use std::rc::Rc;
 use tokio::time::sleep;
 
@@ -37,8 +39,7 @@
     published: Cell<Option<PublishedState>>,
     /// Processes that have ended, whose files are removed once their orders are published by this one.
     ended: RefCell<Vec<String>>,
-    /// The text read last from each process.
-    seen: RefCell<HashMap<String, String>>,
+    seen: SeenStates,
     /// When the other process of this limiter started that accepts clients.
     other_serving_since: Cell<Option<Nanos>>,
     /// Later processes to which this one has handed over.
@@ -80,7 +81,7 @@
             is_serving: Cell::default(),
             published: Cell::default(),
             ended: RefCell::default(),
-            seen: RefCell::default(),
+            seen: SeenStates::default(),
             other_serving_since: Cell::default(),
             successors: RefCell::default(),
         }
@@ -176,26 +177,13 @@
     /// Reads the state that one process published; returns when that process started, if it lives and accepts clients.
     fn look_at(&self, folder: &SharedFolder, process: &str) -> Option<Nanos> {
         let text = folder.read_state(process).ok()?;
-        let state = match SharedState::from_text(&text, self.process.identity()) {
-            Ok(state) => state,
-            Err(error) => {
-                let seen = self.seen.borrow_mut().insert(process.to_owned(), text);
-                if seen.is_none() {
-                    tracing::warn!(process, %error, "state of another process ignored");
-                }
-                return None;
-            }
-        };
+        let state = self.parse_state(process, &text)?;
         let is_alive = folder.is_alive(process);
         let is_successor = !state.is_serving && state.started_at > self.process.started_at;
         if is_alive && is_successor && self.is_serving.get() {
             self.hand_over(folder, process);
         }
-        let seen = self
-            .seen
-            .borrow_mut()
-            .insert(process.to_owned(), text.clone());
-        if seen != Some(text) {
+        if self.seen.record(process, &text) != Seen::Unchanged {
             self.apply(&state);
         }
         if !is_alive {
@@ -206,6 +194,19 @@
         (is_alive && state.is_serving).then_some(state.started_at)
     }
 
+    /// Parses the state of a process of this limiter. The first text of another process that is no such state is logged.
+    fn parse_state(&self, process: &str, text: &str) -> Option<SharedState> {
+        match SharedState::from_text(text, self.process.identity()) {
+            Ok(state) => Some(state),
+            Err(error) => {
+                if self.seen.record(process, text) == Seen::First {
+                    tracing::warn!(process, %error, "state of another process ignored");
+                }
+                None
+            }
+        }
+    }
+
     /// Applies the orders that another process published.
     fn apply(&self, state: &SharedState) {
         let changed = {
--- a/src/net/resp/downstream/closing.rs
+++ b/src/net/resp/downstream/closing.rs
@@ -4,6 +4,7 @@
 
 use super::input::InputState;
 use super::response_queue::CollectOutcome;
+use crate::net::shutdown::Phase;
 
 #[cfg(test)]
 mod tests;
@@ -63,16 +64,16 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ClosePolicy {
     admission: Admission,
-    /// It was accepted while clients are being drained.
-    was_accepted_while_closing: bool,
+    /// The phase of the limiter in which it was accepted.
+    accepted_in: Phase,
 }
 
 impl ClosePolicy {
-    /// The policy of a connection that was accepted at this moment.
-    pub(super) fn new(admission: Admission, was_accepted_while_closing: bool) -> Self {
+    /// The policy of a connection that was accepted in a phase of the limiter.
+    pub(super) fn new(admission: Admission, accepted_in: Phase) -> Self {
         ClosePolicy {
             admission,
-            was_accepted_while_closing,
+            accepted_in,
         }
     }
 
@@ -81,8 +82,8 @@
         self.admission
     }
 
-    /// Decides whether a connection is closed. `is_closing`: clients are being drained.
-    pub(super) fn decide(&self, progress: &Progress, is_closing: bool) -> CloseDecision {
+    /// Decides whether a connection is closed in a phase of the limiter.
+    pub(super) fn decide(&self, progress: &Progress, phase: Phase) -> CloseDecision {
         // The client can tell by the early end that a value is not complete.
         if progress.collected == CollectOutcome::BodyFailed && progress.is_output_empty {
             return CloseDecision::Close;
@@ -92,7 +93,7 @@
         }
         match progress.input {
             InputState::Malformed => CloseDecision::Close,
-            InputState::Empty if self.ends_between_requests(progress, is_closing) => {
+            InputState::Empty if self.is_over_between_requests(progress, phase) => {
                 CloseDecision::CloseUnlessReceived
             }
             InputState::Empty | InputState::PartialCommand => CloseDecision::Keep,
@@ -102,8 +103,9 @@
     /// Whether the connection closes as soon as it is between requests: clients are being drained, or it was accepted
     /// past the limit. Commands that were received together are all answered first. A connection that was accepted
     /// while clients are being drained, or past the limit, does not close before its first command.
-    fn ends_between_requests(&self, progress: &Progress, is_closing: bool) -> bool {
-        let is_drained = is_closing && (progress.has_responded || !self.was_accepted_while_closing);
+    fn is_over_between_requests(&self, progress: &Progress, phase: Phase) -> bool {
+        let had_its_chance = progress.has_responded || self.accepted_in < Phase::Closing;
+        let is_drained = phase >= Phase::Closing && had_its_chance;
         let is_rejected = self.admission == Admission::Rejected && progress.has_responded;
         is_drained || is_rejected
     }
--- a/src/net/resp/downstream/closing/tests.rs
+++ b/src/net/resp/downstream/closing/tests.rs
@@ -11,18 +11,18 @@
 };
 
 fn served() -> ClosePolicy {
-    ClosePolicy::new(Admission::Served, false)
+    ClosePolicy::new(Admission::Served, Phase::Serving)
 }
 
 #[test]
 fn served_connection_stays_open_while_clients_are_not_drained() {
-    assert_eq!(served().decide(&IDLE, false), CloseDecision::Keep);
+    assert_eq!(served().decide(&IDLE, Phase::Serving), CloseDecision::Keep);
 }
 
 #[test]
 fn served_connection_closes_between_requests_while_clients_are_drained() {
     assert_eq!(
-        served().decide(&IDLE, true),
+        served().decide(&IDLE, Phase::Closing),
         CloseDecision::CloseUnlessReceived
     );
     let unused = Progress {
@@ -30,7 +30,7 @@
         ..IDLE
     };
     assert_eq!(
-        served().decide(&unused, true),
+        served().decide(&unused, Phase::Closing),
         CloseDecision::CloseUnlessReceived
     );
 }
@@ -52,34 +52,37 @@
         },
     ];
     for progress in within_a_request {
-        assert_eq!(served().decide(&progress, true), CloseDecision::Keep);
+        assert_eq!(
+            served().decide(&progress, Phase::Closing),
+            CloseDecision::Keep
+        );
     }
 }
 
 #[test]
 fn connection_accepted_while_clients_are_drained_waits_for_its_first_command() {
-    let policy = ClosePolicy::new(Admission::Served, true);
+    let policy = ClosePolicy::new(Admission::Served, Phase::Closing);
     let unused = Progress {
         has_responded: false,
         ..IDLE
     };
-    assert_eq!(policy.decide(&unused, true), CloseDecision::Keep);
+    assert_eq!(policy.decide(&unused, Phase::Closing), CloseDecision::Keep);
     assert_eq!(
-        policy.decide(&IDLE, true),
+        policy.decide(&IDLE, Phase::Closing),
         CloseDecision::CloseUnlessReceived
     );
 }
 
 #[test]
 fn rejected_connection_closes_after_its_first_responses() {
-    let policy = ClosePolicy::new(Admission::Rejected, false);
+    let policy = ClosePolicy::new(Admission::Rejected, Phase::Serving);
     let unused = Progress {
         has_responded: false,
         ..IDLE
     };
-    assert_eq!(policy.decide(&unused, false), CloseDecision::Keep);
+    assert_eq!(policy.decide(&unused, Phase::Serving), CloseDecision::Keep);
     assert_eq!(
-        policy.decide(&IDLE, false),
+        policy.decide(&IDLE, Phase::Serving),
         CloseDecision::CloseUnlessReceived
     );
 }
@@ -90,12 +93,18 @@
         input: InputState::Malformed,
         ..IDLE
     };
-    assert_eq!(served().decide(&malformed, false), CloseDecision::Close);
+    assert_eq!(
+        served().decide(&malformed, Phase::Serving),
+        CloseDecision::Close
+    );
     let unsent = Progress {
         is_output_empty: false,
         ..malformed
     };
-    assert_eq!(served().decide(&unsent, false), CloseDecision::Keep);
+    assert_eq!(
+        served().decide(&unsent, Phase::Serving),
+        CloseDecision::Keep
+    );
 }
 
 #[test]
@@ -105,10 +114,16 @@
         has_pending_response: true,
         ..IDLE
     };
-    assert_eq!(served().decide(&failed, false), CloseDecision::Close);
+    assert_eq!(
+        served().decide(&failed, Phase::Serving),
+        CloseDecision::Close
+    );
     let unsent = Progress {
         is_output_empty: false,
         ..failed
     };
-    assert_eq!(served().decide(&unsent, false), CloseDecision::Keep);
+    assert_eq!(
+        served().decide(&unsent, Phase::Serving),
+        CloseDecision::Keep
+    );
 }
--- a/src/net/resp/downstream/connection.rs
+++ b/src/net/resp/downstream/connection.rs
@@ -1,7 +1,7 @@
 //! One client connection: commands are handled as they arrive, their responses sent in the order of the commands.
 
 use super::closing::{Admission, CloseDecision, ClosePolicy, ConnectionEnd, Progress};
-use super::idle_connections::{Activity, IdleTimer};
+use super::idle_connections::{Activity, IdleTimer, Usage};
 use super::input::{Input, InputState, ReadMode, ReceiveOutcome};
 use super::output::Output;
 use super::request_parser::{parse_client_command, ClientCommand};
@@ -21,6 +21,7 @@
 
 const PONG: &[u8] = b"+PONG\r\n";
 const OK: &[u8] = b"+OK\r\n";
+const DRAINING: &str = "draining";
 const TOO_MANY_COMMANDS: &str = "too many commands wait on this connection";
 
 /// Serves a connection to its end, and closes it.
@@ -83,7 +84,7 @@
             output: Output::new(writer),
             idle_timer: IdleTimer::new(downstream.idle_connections.clone()),
             phase: shutdown.subscribe_phase(),
-            close_policy: ClosePolicy::new(admission, shutdown.phase() >= Phase::Closing),
+            close_policy: ClosePolicy::new(admission, shutdown.phase()),
         }
     }
 
@@ -111,9 +112,9 @@
         if self.output.write(&self.responses, self.limits()).is_err() {
             return Step::End(ConnectionEnd::Lost);
         }
-        let is_closing = *self.phase.borrow_and_update() >= Phase::Closing;
+        let phase = *self.phase.borrow_and_update();
         let progress = self.progress(collected);
-        match self.close_policy.decide(&progress, is_closing) {
+        match self.close_policy.decide(&progress, phase) {
             CloseDecision::Close => Step::End(ConnectionEnd::Orderly),
             CloseDecision::CloseUnlessReceived => match self.close_unless_received() {
                 ControlFlow::Break(end) => Step::End(end),
@@ -164,21 +165,24 @@
     }
 
     fn handle_command(&self, bytes: &[u8], command: &Command) {
-        let accepts_clients = self.downstream.context.shutdown.accepts_clients();
-        let parsed = parse_client_command(
-            bytes,
-            command,
-            &self.downstream.catalog.borrow(),
-            accepts_clients,
-        );
-        match parsed {
-            Ok(ClientCommand::Ping) => self.respond(PONG),
+        let catalog = self.downstream.catalog.borrow();
+        match parse_client_command(bytes, command, &catalog) {
+            Ok(ClientCommand::Ping) => self.handle_ping(),
             Ok(ClientCommand::ConnectionSetting) => self.respond(OK),
             Ok(ClientCommand::Request(request)) => self.handle_request(*request),
             Err(error) => self.responses.push_error(&error.to_string()),
         }
     }
 
+    /// Answers whether the load balancer in front may send clients.
+    fn handle_ping(&self) {
+        if self.downstream.context.shutdown.accepts_clients() {
+            self.respond(PONG);
+        } else {
+            self.responses.push_error(DRAINING);
+        }
+    }
+
     /// Hands a request in, or rejects it past a limit. Without the limit on pipelined requests the end of a client
     /// would not be noticed behind commands that are not read.
     fn handle_request(&self, request: Request) {
@@ -217,9 +221,12 @@
         } else {
             Activity::PartialCommand
         };
-        let is_new =
-            self.idle_timer.is_new() && !progress.has_responded && progress.is_between_requests();
-        self.idle_timer.update(activity, is_new, self.limits());
+        let usage = if progress.has_responded {
+            Usage::Used
+        } else {
+            Usage::New
+        };
+        self.idle_timer.update(activity, usage, self.limits());
     }
 
     fn read_mode(&self) -> ReadMode {
--- a/src/net/resp/downstream/idle_connections.rs
+++ b/src/net/resp/downstream/idle_connections.rs
@@ -61,6 +61,15 @@
     PartialCommand,
 }
 
+/// Whether a connection was ever used.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub enum Usage {
+    /// No response was collected yet.
+    New,
+    /// It has had a response.
+    Used,
+}
+
 /// How long one connection has been idle, or in the middle of a command.
 pub struct IdleTimer {
     idle_connections: Rc<IdleConnections>,
@@ -85,13 +94,9 @@
         }
     }
 
-    /// Whether the connection has sent no complete command yet.
-    pub fn is_new(&self) -> bool {
-        self.is_new
-    }
-
     /// Records the connection's activity.
-    pub fn update(&mut self, activity: Activity, is_new: bool, limits: &Limits) {
+    pub fn update(&mut self, activity: Activity, usage: Usage, limits: &Limits) {
+        let is_new = self.is_new && usage == Usage::New && activity != Activity::Busy;
         if activity == self.activity && is_new == self.is_new {
             return;
         }
@@ -103,16 +108,21 @@
         self.is_new = is_new;
         self.leave_place();
         if activity != Activity::Busy {
-            let head_start = if is_new {
-                limits.downstream.unused_eviction_advance
-            } else {
-                Duration::ZERO
-            };
-            let since = self.since.checked_sub(head_start).unwrap_or(self.since);
-            self.place = Some(self.idle_connections.add(since, &self.evicted));
+            self.enter_place(limits);
         }
     }
 
+    /// Takes a place among the idle connections. A new connection is evicted ahead of those that were used.
+    fn enter_place(&mut self, limits: &Limits) {
+        let advance = if self.is_new {
+            limits.downstream.unused_eviction_advance
+        } else {
+            Duration::ZERO
+        };
+        let since = self.since.checked_sub(advance).unwrap_or(self.since);
+        self.place = Some(self.idle_connections.add(since, &self.evicted));
+    }
+
     fn leave_place(&mut self) {
         if let Some(place) = self.place.take() {
             self.idle_connections.remove(place);
--- a/src/net/resp/downstream/mod.rs
+++ b/src/net/resp/downstream/mod.rs
@@ -2,12 +2,14 @@
 //! the commands.
 
 mod closing;
+mod command_error;
 mod connection;
 mod idle_connections;
 mod input;
 mod listener;
 mod output;
 mod request_catalog;
+mod request_facts;
 mod request_parser;
 mod response_queue;
 
--- a/src/net/resp/downstream/request_parser.rs
+++ b/src/net/resp/downstream/request_parser.rs
@@ -3,13 +3,14 @@
 //! A request is refused here where no host could use it, or where it would charge a customer for units that the
 //! customer did not request: each fact that every request has must be there and within its range.
 
-use super::request_catalog::{CatalogClass, RequestCatalog};
+use super::command_error::CommandError;
+use super::request_catalog::RequestCatalog;
+use super::request_facts::RequestFacts;
 use crate::api::{Class, CustomerId, Effect, RequestId};
 use crate::net::engine::{Payload, Request};
 use crate::net::resp::codec::Command;
 use std::ops::Range;
 use std::time::Duration;
-use thiserror::Error;
 
 /// Customers' numbers are below this one.
 const CUSTOMER_LIMIT: u64 = 1 << 33;
@@ -35,59 +36,6 @@
     ConnectionSetting,
 }
 
-/// Why a command is refused. The texts are sent to clients.
-#[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-pub enum CommandError {
-    /// The command is empty, or contains a null.
-    #[error("a command is an array of bulk strings")]
-    NotBulkStrings,
-    /// The limiter is draining.
-    #[error("draining")]
-    Draining,
-    /// The verb is not known.
-    #[error("unknown command")]
-    UnknownCommand,
-    /// A request has too few or too many arguments.
-    #[error("wrong number of words")]
-    ArgumentCount,
-    /// The customer is malformed or out of range.
-    #[error("the customer is no number of 16 hex digits below 2^33")]
-    Customer,
-    /// The id is malformed.
-    #[error("the id is not 16 hex digits")]
-    Id,
-    /// The facts are not UTF-8.
-    #[error("the list is not text")]
-    FactsNotText,
-    /// A fact has no value.
-    #[error("the list holds no name=value")]
-    FactWithoutValue,
-    /// The class is missing or unknown.
-    #[error("the list holds no c that is known")]
-    Class,
-    /// The plan is missing or unknown.
-    #[error("the list holds no t that is known")]
-    Plan,
-    /// The wait is missing or no positive number.
-    #[error("the list holds no d that is a time")]
-    Wait,
-    /// The units are missing or out of range.
-    #[error("the list holds no units within their range")]
-    Units,
-    /// The spread is missing or out of range.
-    #[error("the list holds no spread within its range")]
-    Spread,
-    /// The first limiter is missing or out of range.
-    #[error("the list holds no first within its range")]
-    FirstLimiter,
-    /// A request of a class with an idempotency key has none.
-    #[error("the list holds no k")]
-    Key,
-    /// The verb does not fit the effect of the class.
-    #[error("this command does not serve this class")]
-    ClassMismatch,
-}
-
 /// The verbs that clients use.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Verb {
@@ -116,7 +64,7 @@
     }
 }
 
-/// Parses a complete command; its ranges refer to `bytes`. `accepts_clients`: the limiter is not draining.
+/// Parses a complete command; its ranges refer to `bytes`.
 ///
 /// # Errors
 /// The command is unknown or malformed, or names a class or plan that the catalog does not contain.
@@ -124,7 +72,6 @@
     bytes: &[u8],
     command: &Command,
     catalog: &RequestCatalog,
-    accepts_clients: bool,
 ) -> Result<ClientCommand, CommandError> {
     let arguments: Option<Vec<_>> = command.arguments.iter().cloned().collect();
     let arguments = arguments
@@ -132,8 +79,7 @@
         .ok_or(CommandError::NotBulkStrings)?;
     let verb = Verb::parse(&bytes[arguments[0].clone()]).ok_or(CommandError::UnknownCommand)?;
     match verb {
-        Verb::Ping if accepts_clients => Ok(ClientCommand::Ping),
-        Verb::Ping => Err(CommandError::Draining),
+        Verb::Ping => Ok(ClientCommand::Ping),
         Verb::ConnectionSetting => Ok(ClientCommand::ConnectionSetting),
         Verb::Read | Verb::Write => {
             let request = parse_request(verb, bytes, &arguments, catalog)?;
@@ -158,30 +104,33 @@
     let id = parse_hex(argument(ID_ARGUMENT)).ok_or(CommandError::Id)?;
     let text = std::str::from_utf8(argument(FACTS_ARGUMENT));
     let text = text.map_err(|_| CommandError::FactsNotText)?;
-    let facts = Facts::parse(text, arguments[FACTS_ARGUMENT].start, catalog)?;
-    let class = facts.class.ok_or(CommandError::Class)?;
-    let plan = facts.plan.ok_or(CommandError::Plan)?;
-    let wait = facts.wait.ok_or(CommandError::Wait)?;
-    let units = facts.units.ok_or(CommandError::Units)?;
-    let spread = facts.spread.ok_or(CommandError::Spread)?;
-    let first_limiter = facts.first_limiter.ok_or(CommandError::FirstLimiter)?;
-    check_effect(verb, class.class.effect, facts.has_key)?;
-    let write_flag = if verb == Verb::Write { WRITE_FLAG } else { 0 };
-    let retry_flag = if facts.is_retry { RETRY_FLAG } else { 0 };
+    let facts = RequestFacts::parse(text, arguments[FACTS_ARGUMENT].start, catalog)?;
+    check_effect(verb, facts.class.class.effect, facts.has_key)?;
     Ok(Request {
         id: RequestId(id),
-        class: class.index,
-        plan,
+        class: facts.class.index,
+        plan: facts.plan,
         customer: CustomerId(customer),
-        units,
-        spread,
-        first_limiter,
-        flags: write_flag | retry_flag,
-        wait: bounded_wait(wait.wait, &class.class),
-        payload: payload(bytes, arguments, &wait.range),
+        units: facts.units,
+        spread: facts.spread,
+        first_limiter: facts.first_limiter,
+        flags: request_flags(verb, &facts),
+        wait: bounded_wait(facts.wait.wait, &facts.class.class),
+        payload: payload(bytes, arguments, &facts.wait.range),
     })
 }
 
+fn request_flags(verb: Verb, facts: &RequestFacts<'_>) -> u64 {
+    let mut flags = 0;
+    if verb == Verb::Write {
+        flags |= WRITE_FLAG;
+    }
+    if facts.is_retry {
+        flags |= RETRY_FLAG;
+    }
+    flags
+}
+
 /// A number of exactly 16 hexadecimal digits.
 fn parse_hex(text: &[u8]) -> Option<u64> {
     let text = std::str::from_utf8(text).ok()?;
@@ -191,66 +140,6 @@
     u64::from_str_radix(text, 16).ok()
 }
 
-/// The wait of a request, and where it stands in the command.
-struct WaitFact {
-    wait: Duration,
-    range: Range<usize>,
-}
-
-/// The facts of a request: `name=value`, separated by commas. Where a name occurs twice the last one counts.
-#[derive(Default)]
-struct Facts<'a> {
-    class: Option<&'a CatalogClass>,
-    plan: Option<u32>,
-    wait: Option<WaitFact>,
-    has_key: bool,
-    is_retry: bool,
-    units: Option<f64>,
-    spread: Option<u32>,
-    first_limiter: Option<u32>,
-}
-
-impl<'a> Facts<'a> {
-    /// Parses facts that start at `start` in the command. Values that are malformed or out of range count as missing.
-    fn parse(text: &str, start: usize, catalog: &'a RequestCatalog) -> Result<Self, CommandError> {
-        let mut facts = Facts::default();
-        let mut position = start;
-        for fact in text.split(',') {
-            let (name, value) = fact.split_once('=').ok_or(CommandError::FactWithoutValue)?;
-            let value_range = position + name.len() + 1..position + fact.len();
-            facts.apply(name, value, value_range, catalog);
-            position += fact.len() + 1;
-        }
-        Ok(facts)
-    }
-
-    fn apply(&mut self, name: &str, value: &str, range: Range<usize>, catalog: &'a RequestCatalog) {
-        let number = value.parse::<u32>().ok();
-        match name {
-            "c" => self.class = catalog.class(value),
-            "t" => self.plan = catalog.plan(value),
-            "d" => {
-                let wait = number.filter(|wait_ms| *wait_ms > 0);
-                self.wait = wait.map(|wait_ms| WaitFact {
-                    wait: Duration::from_millis(wait_ms.into()),
-                    range,
-                });
-            }
-            "k" => self.has_key = !value.is_empty(),
-            "units" => {
-                let units = value.parse().ok();
-                self.units = units.filter(|units| catalog.accepts_units(*units));
-            }
-            "spread" => self.spread = number.filter(|spread| catalog.accepts_spread(*spread)),
-            "first" => {
-                self.first_limiter = number.filter(|index| catalog.accepts_limiter(*index));
-            }
-            "r" if value == "1" => self.is_retry = true,
-            _ => {}
-        }
-    }
-}
-
 fn check_effect(verb: Verb, effect: Effect, has_key: bool) -> Result<(), CommandError> {
     match (verb, effect) {
         (Verb::Read, Effect::Idempotent) | (Verb::Write, Effect::Unsafe) => Ok(()),
--- a/src/net/resp/downstream/tests.rs
+++ b/src/net/resp/downstream/tests.rs
@@ -1,6 +1,7 @@
 //! Parsing of requests.
 
-use super::request_parser::{parse_client_command, ClientCommand, CommandError};
+use super::command_error::CommandError;
+use super::request_parser::{parse_client_command, ClientCommand};
 use super::*;
 use crate::net::config::{self, Limits};
 use crate::net::resp::codec;
@@ -35,7 +36,7 @@
     let command = codec::parse_command(&bytes, &checked.limits)
         .expect("well-formed")
         .expect("complete");
-    match parse_client_command(&bytes, &command, &checked.catalog, true)? {
+    match parse_client_command(&bytes, &command, &checked.catalog)? {
         ClientCommand::Request(request) => Ok(request.wait),
         _ => panic!("{verb} is for a host"),
     }
--- a/src/net/stages/dispatch.rs
+++ b/src/net/stages/dispatch.rs
@@ -35,27 +35,34 @@
     send(pipeline, call);
 }
 
-/// A connection's lifecycle: opened for one call, it carries others for as long as it is usable.
-async fn run_connection(pipeline: Rc<Pipeline>, mut call: HostCall) {
+/// Opens a connection for a call, and carries the call and others on it for as long as it is usable.
+async fn run_connection(pipeline: Rc<Pipeline>, call: HostCall) {
     let Some(_permit) = pipeline
         .upstream
         .acquire_permit(call.host, &pipeline.limits)
     else {
         return complete::complete(&pipeline, &call, Outcome::ConnectFailed.into());
     };
-    let connected = connect(&pipeline, &call).await;
-    let mut connection = match connected {
+    match connect(&pipeline, &call).await {
         Ok(connection) => {
             pipeline.upstream.record_connect(call.host);
-            connection
+            carry_calls(&pipeline, connection, call).await;
         }
         Err(outcome) => {
             pipeline.upstream.record_connect_failure(call.host);
-            return complete::complete(&pipeline, &call, outcome.into());
+            complete::complete(&pipeline, &call, outcome.into());
         }
-    };
+    }
+}
+
+/// Carries a call, and others as the pool hands them to the idle connection.
+async fn carry_calls(
+    pipeline: &Rc<Pipeline>,
+    mut connection: UpstreamConnection,
+    mut call: HostCall,
+) {
     loop {
-        let CallEnd { result, reusable } = attempt::run(&pipeline, &mut connection, &call).await;
+        let CallEnd { result, reusable } = attempt::run(pipeline, &mut connection, &call).await;
         // The connection is idle before the engine handles the end of the call, so that the engine's next call finds
         // it.
         let idle_place = if reusable {
@@ -63,16 +70,15 @@
         } else {
             None
         };
-        complete::complete(&pipeline, &call, result);
+        complete::complete(pipeline, &call, result);
         let Some(IdlePlace { serial, next_call }) = idle_place else {
             return;
         };
-        let host = call.host;
-        match wait_for_call(&pipeline, &mut connection, next_call).await {
+        match wait_for_call(pipeline, &mut connection, next_call).await {
             // The host closed it meanwhile: nothing has been written, so the call goes to another connection.
-            Some(call) if !connection.is_quiet() => return send(&pipeline, call),
+            Some(next) if !connection.is_quiet() => return send(pipeline, next),
             Some(next) => call = next,
-            None => return pipeline.upstream.remove_idle(host, serial),
+            None => return pipeline.upstream.remove_idle(call.host, serial),
         }
     }
 }
