--- a/crates/admin/src/handoff/tests.rs
+++ b/crates/admin/src/handoff/tests.rs
@@ -1,7 +1,7 @@
 //! Handoffs that are sound, incomplete, of another version or another limiter.
 
 use super::*;
-use quartzcleat_decision::{HostSnapshot, SlownessSnapshot};
+use quartzcleat_decision::{HostSnapshot, LatencyScoreSnapshot};
 
 const LIMITER: LimiterIdentity<'static> = LimiterIdentity {
     name: "n1",
@@ -13,9 +13,9 @@
     let host = HostSnapshot {
         host: 7,
         started: 3,
-        slowness: SlownessSnapshot {
-            value: 1.25,
-            evidence: 4.0,
+        latency: LatencyScoreSnapshot {
+            score: 1.25,
+            sample_weight: 4.0,
             measured_at: 9,
         },
         concurrency_limit: 2.5,
--- a/crates/fakes/src/context.rs
+++ b/crates/fakes/src/context.rs
@@ -1,11 +1,12 @@
 //! What the tasks of a run share: the scenario, the clock, the records and the state of each fake. All tasks run on one
 //! thread; no borrow is held across an `await`.
 
-use crate::limiter::LimiterProcess;
-use crate::recorder::{AttemptId, Recorder};
+use crate::limiter::Limiter;
+use crate::recorder::Recorder;
 use crate::state::{FakeCounter, FakeDiscovery, FakeHost};
-use quartzcleat_decision::api::{Nanos, RequestId};
-use quartzcleat_invariants::{Answer, Fact, Record};
+use quartzcleat_decision::api::{ClassIndex, LimiterIndex, Nanos, Outcome, RequestId};
+use quartzcleat_invariants::{Answer, Fact, HostIndex, Record};
+use quartzcleat_simulation::host::HostStatus;
 use quartzcleat_simulation::oracle::ChoicePoint;
 use quartzcleat_simulation::scenario::{option_of_variant, Scenario};
 use std::cell::{Cell, RefCell};
@@ -17,7 +18,7 @@
 /// What the harness knows of a request.
 #[derive(Clone, Debug)]
 pub(crate) struct RequestState {
-    pub(crate) class: usize,
+    pub(crate) class: ClassIndex,
     /// The operation that the client wants executed; its requests share it.
     pub(crate) operation: u64,
     /// Attempts that have reached a host.
@@ -60,7 +61,7 @@
     pub(crate) hosts: RefCell<Vec<FakeHost>>,
     pub(crate) counter: RefCell<FakeCounter>,
     pub(crate) discovery: RefCell<FakeDiscovery>,
-    pub(crate) limiters: RefCell<Vec<LimiterProcess>>,
+    pub(crate) limiters: RefCell<Vec<Limiter>>,
     /// Requests by their id on the wire.
     pub(crate) requests: RefCell<BTreeMap<RequestId, RequestState>>,
     /// When each idempotency key was first executed.
@@ -112,9 +113,20 @@
         self.recorder.borrow_mut().take_records()
     }
 
-    /// The attempts in flight at a host.
-    pub(crate) fn in_flight_at(&self, host: usize) -> Vec<AttemptId> {
-        self.recorder.borrow().in_flight_at(host)
+    /// Ends a host's process or its machine. The end of a process resets its attempts.
+    pub(crate) fn end_host(&self, host: HostIndex, status: HostStatus) {
+        self.hosts.borrow_mut()[host.0].end(status);
+        if status != HostStatus::Dead {
+            return;
+        }
+        let in_flight = self.recorder.borrow().in_flight_at(host);
+        for attempt in in_flight {
+            self.record(Fact::AttemptEnded {
+                request: attempt.request,
+                attempt: attempt.attempt,
+                outcome: Outcome::Reset,
+            });
+        }
     }
 
     /// A request id that this run has not used.
@@ -137,9 +149,9 @@
     }
 
     /// The one-way network delay between a limiter and a host.
-    pub(crate) fn network_delay(&self, limiter: usize, host: usize) -> Duration {
+    pub(crate) fn network_delay(&self, limiter: LimiterIndex, host: HostIndex) -> Duration {
         let processes = &self.scenario.processes;
-        let same_zone = processes.limiters[limiter].zone == processes.hosts[host].zone;
+        let same_zone = processes.limiters[limiter.as_usize()].zone == processes.hosts[host.0].zone;
         Duration::from_nanos(if same_zone {
             self.scenario.network.same_zone
         } else {
@@ -161,11 +173,11 @@
     }
 
     /// The address at which a limiter accepts clients, while its process runs.
-    pub(crate) fn limiter_address(&self, limiter: usize) -> Option<SocketAddr> {
+    pub(crate) fn limiter_address(&self, limiter: LimiterIndex) -> Option<SocketAddr> {
         let limiters = self.limiters.borrow();
         limiters
-            .get(limiter)
-            .filter(|process| process.is_running())
-            .map(|process| process.addresses.listen)
+            .get(limiter.as_usize())
+            .filter(|limiter| limiter.process.is_running())
+            .map(|limiter| limiter.addresses.listen)
     }
 }
--- a/src/cli/demo/table.rs
+++ b/src/cli/demo/table.rs
@@ -1,5 +1,6 @@
-//! The table of what happened in the demo.
+//! The table of the demo's events and requests.
 
+use quartzcleat_decision::api::{ClassIndex, LimiterIndex};
 use quartzcleat_invariants::{Answer, Fact, Processes, Record};
 use std::collections::BTreeMap;
 
@@ -11,8 +12,8 @@
 /// A row of the table is for the requests of a class at a limiter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct RowKey {
-    limiter: usize,
-    class: usize,
+    limiter: LimiterIndex,
+    class: ClassIndex,
 }
 
 #[derive(Debug, Default)]
@@ -45,16 +46,16 @@
 
 /// The notes of a run and a table of its requests.
 pub(super) fn render(processes: &Processes, records: &[Record]) -> String {
-    let mut text = String::from("What happened:\n");
+    let mut text = String::from("Events:\n");
     text.push_str(&render_notes(records));
     text.push_str(&format!(
-        "\n{:24} {:10} {:>6} {:>8} {:>6} {:>8} {:>7} {:>10} {:>10}\n",
+        "\n{:24} {:10} {:>8} {:>8} {:>6} {:>8} {:>7} {:>10} {:>10}\n",
         "limiter",
         "class",
-        "asked",
+        "received",
         "attempts",
         "served",
-        "refused",
+        "rejected",
         "failed",
         "median ms",
         "95% ms"
@@ -62,9 +63,9 @@
     for (key, mut row) in count(records) {
         row.response_times.sort_unstable();
         text.push_str(&format!(
-            "{:24} {:10} {:>6} {:>8} {:>6} {:>8} {:>7} {:>10.1} {:>10.1}\n",
+            "{:24} {:10} {:>8} {:>8} {:>6} {:>8} {:>7} {:>10.1} {:>10.1}\n",
             processes.limiter(key.limiter),
-            processes.classes[key.class],
+            processes.class(key.class),
             row.received,
             row.attempts,
             row.served,
