--- a/src/net/resp/upstream/mod.rs
+++ b/src/net/resp/upstream/mod.rs
@@ -2,6 +2,8 @@
 
 mod call_codec;
 mod connection;
+mod host;
+mod permits;
 mod pool;
 
 #[cfg(test)]
@@ -9,4 +11,6 @@
 
 pub use call_codec::{interpret, may_become_reply, usage_figures, write_command, Interpretation};
 pub use connection::UpstreamConnection;
-pub use pool::{ConnectionPermit, IdlePlace, UpstreamPool};
+pub use host::IdlePlace;
+pub use permits::ConnectionPermit;
+pub use pool::UpstreamPool;
--- /dev/null
+++ b/src/net/resp/upstream/permits.rs
@@ -0,0 +1,65 @@
+//! The count of connections to hosts.
+
+use crate::api::HostId;
+use std::cell::{Cell, RefCell};
+use std::collections::BTreeMap;
+use std::rc::Rc;
+
+/// Counts a connection that is open or being opened, until it is dropped.
+pub struct ConnectionPermit {
+    counts: [Rc<Cell<usize>>; 2],
+}
+
+impl ConnectionPermit {
+    fn new(counts: [Rc<Cell<usize>>; 2]) -> Self {
+        for count in &counts {
+            count.set(count.get() + 1);
+        }
+        ConnectionPermit { counts }
+    }
+}
+
+impl Drop for ConnectionPermit {
+    fn drop(&mut self) {
+        for count in &self.counts {
+            count.set(count.get() - 1);
+        }
+    }
+}
+
+/// How many connections are open or being opened, in all and by host.
+#[derive(Default)]
+pub(super) struct ConnectionCounts {
+    total: Rc<Cell<usize>>,
+    by_host: RefCell<BTreeMap<HostId, Rc<Cell<usize>>>>,
+}
+
+impl ConnectionCounts {
+    /// How many connections there are.
+    pub(super) fn total(&self) -> usize {
+        self.total.get()
+    }
+
+    /// How many connections there are to each host that has some.
+    pub(super) fn by_host(&self) -> BTreeMap<HostId, usize> {
+        self.by_host
+            .borrow()
+            .iter()
+            .filter(|(_, count)| count.get() > 0)
+            .map(|(id, count)| (*id, count.get()))
+            .collect()
+    }
+
+    /// Counts one more connection to a host.
+    pub(super) fn acquire(&self, id: HostId) -> ConnectionPermit {
+        let by_host = self.by_host.borrow_mut().entry(id).or_default().clone();
+        ConnectionPermit::new([self.total.clone(), by_host])
+    }
+
+    /// Forgets the hosts without connections, but for those to retain.
+    pub(super) fn forget_unused(&self, is_retained: impl Fn(HostId) -> bool) {
+        self.by_host
+            .borrow_mut()
+            .retain(|id, count| count.get() > 0 || is_retained(*id));
+    }
+}
