--- a/crates/admin/src/class_indices/tests.rs
+++ b/crates/admin/src/class_indices/tests.rs
@@ -18,10 +18,8 @@
 
 #[test]
 fn index_keeps_its_class_while_a_request_may_carry_it() {
-    let (check, hold) = (
-        ("check", Effect::Idempotent),
-        ("hold", Effect::IdempotentWithKey),
-    );
+    let check = ("check", Effect::Idempotent);
+    let hold = ("hold", Effect::IdempotentWithKey);
     let mut indices = ClassIndices::new(&settings(&[check, hold]));
     // One class is removed, one gets stricter under its name, one is added.
     let strict = ("hold", Effect::Unsafe);
--- a/crates/admin/src/drain/tests.rs
+++ b/crates/admin/src/drain/tests.rs
@@ -11,11 +11,10 @@
 #[test]
 fn each_pair_of_orders_leads_to_one_phase() {
     type Order = fn(&mut DrainController, Nanos);
-    let (drain, undrain): (Order, Order) = (DrainController::drain, DrainController::undrain);
-    let (shut_down, hand_over): (Order, Order) = (
-        |controller, at| controller.shut_down(at, Successor::None),
-        |controller, at| controller.shut_down(at, Successor::Serving),
-    );
+    let drain: Order = DrainController::drain;
+    let undrain: Order = DrainController::undrain;
+    let shut_down: Order = |controller, at| controller.shut_down(at, Successor::None);
+    let hand_over: Order = |controller, at| controller.shut_down(at, Successor::Serving);
     use Phase::{Closing, LastCall, Serving};
     for (first, second, gap, at, phase, accepts_clients, is_shutting_down) in [
         (drain, drain, 10, 21, LastCall, false, false),
--- a/crates/admin/src/maintenance/tests.rs
+++ b/crates/admin/src/maintenance/tests.rs
@@ -50,15 +50,14 @@
 
 #[test]
 fn later_order_of_two_processes_holds_in_either_order_of_arrival() {
-    let (mut one, mut two) = (
-        MaintenanceRegistry::default(),
-        MaintenanceRegistry::default(),
-    );
+    let mut one = MaintenanceRegistry::default();
+    let mut two = MaintenanceRegistry::default();
     one.record_listed("s");
     one.disable("s", 10).expect("listed");
     assert_eq!(two.merge(one.orders()), ["s"]);
     two.enable("s", 20).expect("known by the order");
-    let (old, new) = (one.orders().clone(), two.orders().clone());
+    let old = one.orders().clone();
+    let new = two.orders().clone();
     assert!(two.merge(&old).is_empty() && !two.is_disabled("s"));
     assert_eq!(one.merge(&new), ["s"]);
     assert!(!one.is_disabled("s") && one.orders() == two.orders());
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -113,6 +113,16 @@
     form: LogFormat,
 }
 
+impl<F> SuppressionReport<F> {
+    fn new(format: F, rate_limiter: Arc<RateLimiter>, form: LogFormat) -> Self {
+        SuppressionReport {
+            format,
+            rate_limiter,
+            form,
+        }
+    }
+}
+
 impl<S, N, F> FormatEvent<S, N> for SuppressionReport<F>
 where
     S: Subscriber + for<'a> LookupSpan<'a>,
@@ -155,31 +165,24 @@
 /// Fails where the filter is malformed or logging has begun already.
 pub fn begin(log: &LogConfig) -> Result<(), LoggingError> {
     let filter = EnvFilter::try_new(&log.filter)?;
+    let registry = tracing_subscriber::registry().with(filter);
     let rate_limiter = Arc::new(RateLimiter::new(log));
+    let rate_limit = RateLimitFilter(rate_limiter.clone());
     let format = Format::default()
         .with_ansi(false)
         .with_timer(Uptime::default());
     let layer = Layer::default()
         .with_writer(std::io::stderr)
         .with_ansi(false);
-    let registry = tracing_subscriber::registry().with(filter);
     match log.format {
         LogFormat::Human => {
-            let layer = layer.event_format(SuppressionReport {
-                format,
-                rate_limiter: rate_limiter.clone(),
-                form: log.format,
-            });
-            let layer = layer.with_filter(RateLimitFilter(rate_limiter));
+            let report = SuppressionReport::new(format, rate_limiter, log.format);
+            let layer = layer.event_format(report).with_filter(rate_limit);
             registry.with(layer).try_init()?;
         }
         LogFormat::Json => {
-            let layer = layer.json().event_format(SuppressionReport {
-                format: format.json(),
-                rate_limiter: rate_limiter.clone(),
-                form: log.format,
-            });
-            let layer = layer.with_filter(RateLimitFilter(rate_limiter));
+            let report = SuppressionReport::new(format.json(), rate_limiter, log.format);
+            let layer = layer.json().event_format(report).with_filter(rate_limit);
             registry.with(layer).try_init()?;
         }
     }
--- a/src/net/config/tests.rs
+++ b/src/net/config/tests.rs
@@ -54,9 +54,11 @@
     let old = parse(text, variable).expect("valid");
     let new = parse_replacement(&json(text), text, variable).expect("valid");
     let address = |text: &str| text.parse().expect("an address");
-    let (discovery, counter) = (address(in_environment), Some(address(in_environment)));
+    let discovery = address(in_environment);
+    let counter = Some(address(in_environment));
     assert_eq!(old.addresses, Addresses { discovery, counter });
-    let (discovery, counter) = (address("127.0.0.1:7001"), Some(address("127.0.0.1:7002")));
+    let discovery = address("127.0.0.1:7001");
+    let counter = Some(address("127.0.0.1:7002"));
     assert_eq!(new.addresses, Addresses { discovery, counter });
     assert_eq!(
         new.listen,
--- a/src/net/discovery/backoff/tests.rs
+++ b/src/net/discovery/backoff/tests.rs
@@ -2,53 +2,87 @@
 
 use super::*;
 
-/// A hundred limiters start at one moment. The service answers 25 calls a second in their order, and fails calls that
-/// have waited for 2 s. With a spread first call all calls are answered, and none fails. Called at once, and again
-/// after 100 ms, the limiters fail nearly half of their calls.
-#[test]
-fn fleet_that_starts_at_once_spreads_its_calls() {
-    let herd = |least: u64, most: u64, spread: bool| {
-        let time = Duration::from_millis;
-        let mut limiters: Vec<_> = (0..100)
-            .map(|seed| Backoff::new(time(least), time(most), seed))
-            .collect();
-        let mut next_call: Vec<_> = limiters
-            .iter_mut()
-            .map(|backoff| {
-                Some(if spread {
-                    backoff.first()
-                } else {
-                    Duration::ZERO
-                })
-            })
-            .collect();
-        let (mut free, mut failed) = (Duration::ZERO, 0);
-        // For 30 s, the earliest call is answered in its order or fails.
-        while let Some((at, one)) = next_call
-            .iter()
-            .zip(0..)
-            .filter_map(|(next_call, one)| Some(((*next_call)?, one)))
-            .min()
-        {
-            if at > time(30_000) {
-                break;
-            }
-            let begins = free.max(at);
-            if begins - at > time(2_000) {
-                failed += 1;
-                // A caller that gave up had kept its place in the queue for all that time.
-                free += time(1);
-                next_call[one] = Some(at + time(2_000) + limiters[one].after_failure());
-            } else {
-                free = begins + time(40);
-                next_call[one] = None;
-            }
+/// The time that the service needs for an answer, and for a call that has given up.
+const ANSWER_TIME: Duration = Duration::from_millis(40);
+const GIVEN_UP_CALL_TIME: Duration = Duration::from_millis(1);
+/// How long a call waits for its answer.
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
+const OBSERVED_TIME: Duration = Duration::from_secs(30);
+
+/// When each limiter makes its first call.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum FirstCall {
+    AtOnce,
+    Spread,
+}
+
+/// A fleet of a hundred limiters after [`OBSERVED_TIME`].
+#[derive(Debug, PartialEq, Eq)]
+struct FleetResult {
+    /// Limiters that were never answered.
+    unanswered: usize,
+    failed_calls: usize,
+}
+
+/// A hundred limiters start at one moment, before a service that answers their calls one after another.
+fn start_fleet(pause: Duration, first_call: FirstCall) -> FleetResult {
+    let mut backoffs: Vec<_> = (0..100)
+        .map(|seed| Backoff::new(pause, pause, seed))
+        .collect();
+    let mut next_calls: Vec<Option<Duration>> = backoffs
+        .iter_mut()
+        .map(|backoff| match first_call {
+            FirstCall::AtOnce => Some(Duration::ZERO),
+            FirstCall::Spread => Some(backoff.first()),
+        })
+        .collect();
+    let mut service_free_at = Duration::ZERO;
+    let mut failed_calls = 0;
+    while let Some((called_at, limiter)) = earliest_call(&next_calls) {
+        if called_at > OBSERVED_TIME {
+            break;
         }
-        (next_call.iter().flatten().count(), failed)
+        let served_at = service_free_at.max(called_at);
+        if served_at - called_at > CALL_TIMEOUT {
+            failed_calls += 1;
+            // A call that has given up had kept its place in the queue for all that time.
+            service_free_at += GIVEN_UP_CALL_TIME;
+            let pause = backoffs[limiter].after_failure();
+            next_calls[limiter] = Some(called_at + CALL_TIMEOUT + pause);
+        } else {
+            service_free_at = served_at + ANSWER_TIME;
+            next_calls[limiter] = None;
+        }
+    }
+    FleetResult {
+        unanswered: next_calls.iter().flatten().count(),
+        failed_calls,
+    }
+}
+
+/// The time of the earliest call, and the limiter that makes it.
+fn earliest_call(next_calls: &[Option<Duration>]) -> Option<(Duration, usize)> {
+    let calls = next_calls.iter().zip(0..);
+    calls
+        .filter_map(|(called_at, limiter)| Some(((*called_at)?, limiter)))
+        .min()
+}
+
+#[test]
+fn fleet_with_spread_first_calls_is_answered_without_a_failure() {
+    let all_answered = FleetResult {
+        unanswered: 0,
+        failed_calls: 0,
     };
-    assert_eq!(herd(4_000, 4_000, true), (0, 0));
-    let (_, in_step) = herd(100, 100, false);
-    assert!(in_step >= 40, "{in_step} calls failed when made in step");
+    let pause = Duration::from_secs(4);
+    assert_eq!(start_fleet(pause, FirstCall::Spread), all_answered);
+}
+
+#[test]
+fn fleet_that_calls_at_once_fails_many_calls() {
+    let FleetResult { failed_calls, .. } =
+        start_fleet(Duration::from_millis(100), FirstCall::AtOnce);
+    assert!(failed_calls >= 40, "{failed_calls} calls failed");
 }
 
 #[test]
--- a/src/net/discovery/endpoint_list.rs
+++ b/src/net/discovery/endpoint_list.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 #[cfg(test)]
-mod tests;
+pub(super) mod tests;
 
 /// The source of a list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/src/net/discovery/endpoint_list/tests.rs
+++ b/src/net/discovery/endpoint_list/tests.rs
@@ -2,10 +2,23 @@
 
 use super::*;
 
+/// How many hosts the list remembers.
+#[derive(Debug, PartialEq, Eq)]
+pub(crate) struct HostCounts {
+    /// Names that have an id.
+    pub(crate) names: usize,
+    /// Ids in use.
+    pub(crate) ids: usize,
+    /// Hosts on the list.
+    pub(crate) listed: usize,
+}
+
 impl EndpointList {
-    /// How many names of hosts have ids, how many ids are in use, and how many hosts are listed.
-    pub(crate) fn counts(&self) -> (usize, usize, usize) {
-        let (named, in_use) = self.names.host_counts();
-        (named, in_use, self.endpoints.len())
+    pub(crate) fn host_counts(&self) -> HostCounts {
+        HostCounts {
+            names: self.names.host_name_count(),
+            ids: self.names.host_id_count(),
+            listed: self.endpoints.len(),
+        }
     }
 }
--- a/src/net/discovery/endpoint_names/tests.rs
+++ b/src/net/discovery/endpoint_names/tests.rs
@@ -3,16 +3,20 @@
 use super::*;
 
 impl EndpointNames {
-    /// How many names of hosts have ids, and how many ids are in use.
-    pub(crate) fn host_counts(&self) -> (usize, usize) {
-        (self.hosts.ids.len(), self.hosts.in_use.len())
+    pub(crate) fn host_name_count(&self) -> usize {
+        self.hosts.ids.len()
+    }
+
+    pub(crate) fn host_id_count(&self) -> usize {
+        self.hosts.in_use.len()
     }
 }
 
 /// A name has the same id at every limiter, and two names never share one.
 #[test]
 fn host_ids_are_stable_and_unique() {
-    let (mut one, mut two) = (HostIds::default(), HostIds::default());
+    let mut one = HostIds::default();
+    let mut two = HostIds::default();
     assert_eq!(one.id("s-5be2a07c"), two.id("s-5be2a07c"));
     let taken = two.id("s-1");
     let mut three = HostIds::default();
--- a/src/net/discovery/tests.rs
+++ b/src/net/discovery/tests.rs
@@ -1,5 +1,6 @@
 //! Lists that are applied, maintenance that overrides them, and a watch that is lost.
 
+use super::endpoint_list::tests::HostCounts;
 use super::*;
 use crate::api::{Event, HostState, ListMode};
 use crate::net::task::spawn;
@@ -134,7 +135,12 @@
         }
         sleep(limiter.limits().upstream.drain_grace.get()).await;
         apply_list(client, 200, false, "s-50", "SERVING");
-        let counts = client.endpoints().borrow().counts();
-        assert_eq!(counts, (1, 1, 1));
+        let counts = client.endpoints().borrow().host_counts();
+        let only_the_last = HostCounts {
+            names: 1,
+            ids: 1,
+            listed: 1,
+        };
+        assert_eq!(counts, only_the_last);
     });
 }
--- a/src/net/engine/tests.rs
+++ b/src/net/engine/tests.rs
@@ -72,7 +72,9 @@
 
 #[test]
 fn clocks_show_unix_time_and_never_go_back() {
-    let (one, two, now) = (Clock::new(), Clock::new(), Instant::now());
+    let one = Clock::new();
+    let two = Clock::new();
+    let now = Instant::now();
     assert!(one.at(now).abs_diff(two.at(now)) < 50_000_000);
     assert!(one.at(now + Duration::from_millis(3)) >= one.at(now) + 3_000_000);
     assert!(
@@ -86,7 +88,8 @@
 #[test]
 fn attempts_keep_to_their_limit_and_deadline() {
     with_limiter(&[], |limiter| async move {
-        let (mut requests, now) = (limiter.engine().requests().borrow_mut(), Instant::now());
+        let mut requests = limiter.engine().requests().borrow_mut();
+        let now = Instant::now();
         let deadline = requests.open(no_reply(), &mut request(1), now);
         let host = HostId(5);
         let order = |id| AttemptOrder {
--- a/src/net/metrics/tests.rs
+++ b/src/net/metrics/tests.rs
@@ -7,7 +7,8 @@
 #[test]
 fn events_and_actions_are_counted_by_cause_and_host() {
     let mut metrics = Metrics::new("one".into());
-    let (id, host) = (RequestId(1), HostId(5));
+    let id = RequestId(1);
+    let host = HostId(5);
     let done = |outcome| Event::AttemptDone {
         id,
         attempt: AttemptIndex(0),
--- a/src/net/reload/race_tests.rs
+++ b/src/net/reload/race_tests.rs
@@ -94,15 +94,11 @@
             old.classes[..],
             "requests accepted before keep their terms"
         );
-        let (check, hold) = (
-            named("bed-check").expect("accepted"),
-            named("bed-hold").expect("accepted"),
-        );
+        let check = named("bed-check").expect("accepted");
+        let hold = named("bed-hold").expect("accepted");
         assert!(check > 1 && hold > 1, "new terms have new indices");
-        let (check, hold) = (
-            &settings.classes[check as usize],
-            &settings.classes[hold as usize],
-        );
+        let check = &settings.classes[check as usize];
+        let hold = &settings.classes[hold as usize];
         assert_eq!(
             (check.effect, check.deadline),
             (old.classes[1].effect, old.classes[1].deadline)
--- a/src/net/resp/tests.rs
+++ b/src/net/resp/tests.rs
@@ -8,7 +8,12 @@
 use tokio::net::{TcpListener, TcpStream};
 
 /// A connection that the runtime knows to be empty, and its other end, which the test controls.
-async fn connected_pair() -> (TcpStream, Blocking) {
+struct ConnectedPair {
+    stream: TcpStream,
+    peer: Blocking,
+}
+
+async fn connected_pair() -> ConnectedPair {
     let listener = TcpListener::bind("127.0.0.1:0")
         .await
         .expect("a port is free");
@@ -21,7 +26,7 @@
         .await
         .expect("the runtime has looked at it");
     assert!(stream.try_read(&mut [0]).is_err(), "nothing was received");
-    (stream, peer)
+    ConnectedPair { stream, peer }
 }
 
 /// Waits until the kernel has something to read on a connection, without polling the runtime.
@@ -50,7 +55,7 @@
 #[test]
 fn read_now_sees_bytes_and_ends_that_the_runtime_does_not_know_of() {
     run(async {
-        let (stream, mut peer) = connected_pair().await;
+        let ConnectedPair { stream, mut peer } = connected_pair().await;
         let mut bytes = [0; 8];
         assert_eq!(read_now(&stream, &mut bytes), SocketState::Empty);
         peer.write_all(b"PING").expect("the socket takes it");
@@ -69,7 +74,7 @@
 #[test]
 fn pooled_connection_that_was_just_closed_is_not_quiet() {
     run(async {
-        let (stream, peer) = connected_pair().await;
+        let ConnectedPair { stream, peer } = connected_pair().await;
         let address = stream.peer_addr().expect("an address");
         let connection = UpstreamConnection::new(stream, address);
         assert!(connection.is_quiet());
@@ -83,7 +88,7 @@
 #[test]
 fn last_answer_arrives_despite_unread_bytes() {
     run(async {
-        let (stream, mut peer) = connected_pair().await;
+        let ConnectedPair { stream, mut peer } = connected_pair().await;
         peer.write_all(b"unread").expect("the socket takes it");
         assert_eq!(
             stream
--- a/src/net/resp/upstream/call_codec.rs
+++ b/src/net/resp/upstream/call_codec.rs
@@ -60,17 +60,16 @@
     let mut words = line.split(|byte| *byte == b' ');
     let first = words.next();
     let load = words.next_back().and_then(parse_load).unwrap_or_default();
-    let (outcome, is_known_form) = match first {
-        Some(b"BUSY") => (Outcome::Rejected, true),
-        Some(b"ERR") => (Outcome::Error, true),
-        _ => (Outcome::Error, false),
+    let outcome = match first {
+        Some(b"BUSY") => Outcome::Rejected,
+        _ => Outcome::Error,
     };
     Interpretation {
         result: CallResult {
             load,
             ..outcome.into()
         },
-        is_known_form,
+        is_known_form: matches!(first, Some(b"BUSY" | b"ERR")),
     }
 }
 
@@ -148,7 +147,8 @@
         let found = figures.find(|figure| figure.name == name);
         found.map_or(0.0, |figure| figure.value)
     };
-    let (metered, units) = (value_of("used"), value_of("cost"));
+    let metered = value_of("used");
+    let units = value_of("cost");
     if figures.is_none() || metered < 0.0 || units < 0.0 {
         tracing::warn!(host = host.0, "usage figures of a host are malformed");
     }
--- a/src/net/resp/upstream/tests.rs
+++ b/src/net/resp/upstream/tests.rs
@@ -44,41 +44,62 @@
     });
 }
 
-/// A reply, how the call ends by it, the load in it, and whether the connection may be used again.
-type ReplyCase = (&'static str, Outcome, Option<f64>, bool);
+/// A reply, and the end of the call that it leads to.
+struct ReplyCase {
+    bytes: &'static str,
+    outcome: Outcome,
+    /// The first value of the load report.
+    load: Option<f64>,
+    /// The connection may be used again.
+    is_known_form: bool,
+}
+
+impl ReplyCase {
+    /// A reply of one of the protocol's forms.
+    const fn known(bytes: &'static str, outcome: Outcome, load: Option<f64>) -> Self {
+        ReplyCase {
+            bytes,
+            outcome,
+            load,
+            is_known_form: true,
+        }
+    }
+
+    /// A reply of no form of the protocol.
+    const fn unknown(bytes: &'static str) -> Self {
+        ReplyCase {
+            bytes,
+            outcome: Outcome::Error,
+            load: None,
+            is_known_form: false,
+        }
+    }
+}
 
 const REPLIES: [ReplyCase; 12] = [
-    (
+    ReplyCase::known(
         "*3\r\n$3\r\nbed\r\n$-1\r\n$20\r\ninflight=7,queue=2.5\r\n",
         Outcome::Good,
         Some(7.0),
-        true,
     ),
-    (
+    ReplyCase::known(
         "*3\r\n$3\r\nbed\r\n$-1\r\n$3\r\n=,=\r\n",
         Outcome::Good,
         None,
-        true,
-    ),
-    (
-        "*3\r\n$3\r\nbed\r\n:-7\r\n+?\r\n",
-        Outcome::Good,
-        None,
-        true,
     ),
-    ("*3\r\n$-1\r\n$-1\r\n$-1\r\n", Outcome::Error, None, false),
-    ("*2\r\n$3\r\nbed\r\n$-1\r\n", Outcome::Error, None, false),
-    ("$3\r\nbed\r\n", Outcome::Error, None, false),
-    ("+OK\r\n", Outcome::Error, None, false),
-    (":5\r\n", Outcome::Error, None, false),
-    ("-BUSY\r\n", Outcome::Rejected, None, true),
-    ("-BUSY inflight=9\r\n", Outcome::Rejected, Some(9.0), true),
-    ("-BUSYBODY\r\n", Outcome::Error, None, false),
-    (
+    ReplyCase::known("*3\r\n$3\r\nbed\r\n:-7\r\n+?\r\n", Outcome::Good, None),
+    ReplyCase::unknown("*3\r\n$-1\r\n$-1\r\n$-1\r\n"),
+    ReplyCase::unknown("*2\r\n$3\r\nbed\r\n$-1\r\n"),
+    ReplyCase::unknown("$3\r\nbed\r\n"),
+    ReplyCase::unknown("+OK\r\n"),
+    ReplyCase::unknown(":5\r\n"),
+    ReplyCase::known("-BUSY\r\n", Outcome::Rejected, None),
+    ReplyCase::known("-BUSY inflight=9\r\n", Outcome::Rejected, Some(9.0)),
+    ReplyCase::unknown("-BUSYBODY\r\n"),
+    ReplyCase::known(
         "-ERR failed inflight=3,queue=0\r\n",
         Outcome::Error,
         Some(3.0),
-        true,
     ),
 ];
 
@@ -103,7 +124,8 @@
 #[test]
 fn only_a_complete_well_formed_value_is_good() {
     with_limiter(&[], |limiter| async move {
-        for (bytes, outcome, inflight, known) in REPLIES {
+        for case in REPLIES {
+            let bytes = case.bytes;
             let reply = parse(bytes, limiter.limits());
             let source = ReportSource::Answers;
             let interpretation = interpret(&reply, bytes.as_bytes(), &attempt(), HostId(5), source);
@@ -111,10 +133,10 @@
             let load = result.load.readings.first().map(|reading| reading.value);
             assert_eq!(
                 (result.outcome, load, interpretation.is_known_form),
-                (outcome, inflight, known),
+                (case.outcome, case.load, case.is_known_form),
                 "{bytes:?}"
             );
-            let value: &[u8] = match outcome {
+            let value: &[u8] = match case.outcome {
                 Outcome::Good => b"bed",
                 _ => b"",
             };
@@ -166,10 +188,8 @@
 #[test]
 fn connection_is_not_reused_right_after_an_answer() {
     with_limiter(&[], |limiter| async move {
-        let (upstream, address) = (
-            limiter.upstream(),
-            "127.0.0.1:9".parse().expect("an address"),
-        );
+        let upstream = limiter.upstream();
+        let address = "127.0.0.1:9".parse().expect("an address");
         let state = HostState::Ready;
         upstream.update_host(
             &HostEntry {
@@ -201,10 +221,8 @@
 #[test]
 fn draining_host_gets_no_calls_past_the_drain_grace() {
     with_limiter(&[], |limiter| async move {
-        let (upstream, address) = (
-            limiter.upstream(),
-            "127.0.0.1:9".parse().expect("an address"),
-        );
+        let upstream = limiter.upstream();
+        let address = "127.0.0.1:9".parse().expect("an address");
         let entry = |state| HostEntry {
             host: HostId(5),
             state,
@@ -231,10 +249,8 @@
 #[test]
 fn gone_hosts_are_forgotten_past_the_drain_grace() {
     with_limiter(&[], |limiter| async move {
-        let (upstream, address) = (
-            limiter.upstream(),
-            "127.0.0.1:9".parse().expect("an address"),
-        );
+        let upstream = limiter.upstream();
+        let address = "127.0.0.1:9".parse().expect("an address");
         let entry = |id, state| HostEntry {
             host: HostId(id),
             state,
--- a/src/net/shutdown/tests.rs
+++ b/src/net/shutdown/tests.rs
@@ -22,7 +22,8 @@
 #[test]
 fn deadline_of_a_request_after_sigterm_is_before_the_end_of_the_process() {
     with_limiter(&[], |limiter| async move {
-        let (frontend, mut long_request) = (Rc::new(RecordingFrontend::default()), request(1));
+        let frontend = Rc::new(RecordingFrontend::default());
+        let mut long_request = request(1);
         long_request.wait = LONG;
         start_shutdown(&limiter, Duration::from_secs(3));
         let before = Instant::now();
@@ -45,7 +46,8 @@
 #[test]
 fn open_request_is_answered_before_the_process_ends() {
     with_limiter(&[], |limiter| async move {
-        let (frontend, mut long_request) = (Rc::new(RecordingFrontend::default()), request(1));
+        let frontend = Rc::new(RecordingFrontend::default());
+        let mut long_request = request(1);
         long_request.wait = LONG;
         accept::accept(limiter.pipeline(), frontend.clone(), 9, long_request);
         assert!(matches!(next(&limiter).await, Event::Request { .. }));
@@ -53,7 +55,8 @@
         limiter.limits().shutdown.final_answer_margin.set(LONG);
         start_shutdown(&limiter, LONG + Duration::from_millis(200));
         let connection = limiter.shutdown().count_connection();
-        let (closing, answered) = (limiter.clone(), frontend.clone());
+        let closing = limiter.clone();
+        let answered = frontend.clone();
         // The client's connection ends once it has its answer.
         spawn(async move {
             while answered.0.borrow().is_empty() {
--- a/src/net/stages/attempt/tests.rs
+++ b/src/net/stages/attempt/tests.rs
@@ -14,7 +14,8 @@
         let listener = TcpListener::bind("127.0.0.1:0")
             .await
             .expect("a port is free");
-        let (address, host) = (listener.local_addr().expect("it has an address"), HostId(5));
+        let address = listener.local_addr().expect("it has an address");
+        let host = HostId(5);
         let entry = HostEntry {
             host,
             state: HostState::Ready,
--- a/src/net/stages/complete/tests.rs
+++ b/src/net/stages/complete/tests.rs
@@ -11,8 +11,10 @@
 #[test]
 fn only_the_first_good_attempt_answers_the_client() {
     with_limiter(&[], |limiter| async move {
-        let (frontend, now) = (Rc::new(RecordingFrontend::default()), Instant::now());
-        let (engine, pipeline) = (limiter.engine(), limiter.pipeline());
+        let frontend = Rc::new(RecordingFrontend::default());
+        let now = Instant::now();
+        let engine = limiter.engine();
+        let pipeline = limiter.pipeline();
         engine
             .requests()
             .borrow_mut()
@@ -22,7 +24,8 @@
             let begun = engine.requests().borrow_mut().begin_attempt(order, now);
             begun.expect("within the cap")
         };
-        let (first, second) = (begin(), begin());
+        let first = begin();
+        let second = begin();
         let result = CallResult {
             value: b"bed".to_vec(),
             used: UsageFigures {
--- a/src/net/stages/tests.rs
+++ b/src/net/stages/tests.rs
@@ -50,16 +50,17 @@
     }
 }
 
+/// An attempt whose connection is being opened, and the frontend of its request.
+struct SlowAttempt {
+    host: SlowHost,
+    frontend: Rc<RecordingFrontend>,
+}
+
 /// Sends an attempt of a request to a host whose connection is not established.
-async fn send_to_slow_host(
-    limiter: &Rc<Limiter>,
-    begins_within: Duration,
-) -> (SlowHost, Rc<RecordingFrontend>) {
+async fn send_to_slow_host(limiter: &Rc<Limiter>, begins_within: Duration) -> SlowAttempt {
     limiter.limits().connect_timeout.set(LONG);
-    let (host, frontend) = (
-        slow_host(limiter).await,
-        Rc::new(RecordingFrontend::default()),
-    );
+    let host = slow_host(limiter).await;
+    let frontend = Rc::new(RecordingFrontend::default());
     let mut slow_request = request(1);
     slow_request.wait = LONG;
     let requests = limiter.engine().requests();
@@ -78,7 +79,7 @@
         Some(&1),
         "the connection is being opened"
     );
-    (host, frontend)
+    SlowAttempt { host, frontend }
 }
 
 /// Checks that the attempt ends with an outcome, and that the host, which now accepts, gets nothing of it.
@@ -118,7 +119,7 @@
 #[test]
 fn abandoned_request_is_not_sent_once_its_connection_opens() {
     with_limiter(&[], |limiter| async move {
-        let (host, frontend) = send_to_slow_host(&limiter, LONG).await;
+        let SlowAttempt { host, frontend } = send_to_slow_host(&limiter, LONG).await;
         complete::abandon(limiter.pipeline(), RequestId(1));
         assert_nothing_sent(&limiter, host, Outcome::Cancelled).await;
         assert_eq!(*frontend.0.borrow(), []);
@@ -129,7 +130,7 @@
 #[test]
 fn answered_request_is_not_sent_once_its_connection_opens() {
     with_limiter(&[], |limiter| async move {
-        let (host, frontend) = send_to_slow_host(&limiter, LONG).await;
+        let SlowAttempt { host, frontend } = send_to_slow_host(&limiter, LONG).await;
         let delivery = complete::answer(limiter.pipeline(), RequestId(1), Answer::Failed);
         assert_eq!(delivery, Delivery::Delivered);
         assert_nothing_sent(&limiter, host, Outcome::Cancelled).await;
@@ -141,7 +142,8 @@
 #[test]
 fn late_attempt_does_not_begin_once_its_connection_opens() {
     with_limiter(&[], |limiter| async move {
-        let (host, frontend) = send_to_slow_host(&limiter, Duration::from_millis(20)).await;
+        let SlowAttempt { host, frontend } =
+            send_to_slow_host(&limiter, Duration::from_millis(20)).await;
         assert_nothing_sent(&limiter, host, Outcome::ConnectFailed).await;
         assert_eq!(
             *frontend.0.borrow(),
--- a/src/net/streaming_body/tests.rs
+++ b/src/net/streaming_body/tests.rs
@@ -5,8 +5,9 @@
 #[test]
 fn buffer_keeps_to_its_capacity_and_is_released() {
     let buffered = Rc::new(Cell::new(0));
-    let (body, mut output, mut total) =
-        (StreamingBody::new(100, 8, buffered.clone()), Vec::new(), 0);
+    let body = StreamingBody::new(100, 8, buffered.clone());
+    let mut output = Vec::new();
+    let mut total = 0;
     assert_eq!(buffered.get(), 16);
     for _ in 0..10 {
         body.write(&vec![7; body.free_capacity()]);
@@ -32,7 +33,8 @@
 
 #[test]
 fn failure_is_reported_after_the_written_bytes() {
-    let (body, mut output) = (StreamingBody::new(100, 8, Rc::default()), vec![0; 6]);
+    let body = StreamingBody::new(100, 8, Rc::default());
+    let mut output = vec![0; 6];
     body.write(&[1, 2, 3]);
     body.fail();
     assert_eq!(
