--- a/src/net/discovery/tests.rs
+++ b/src/net/discovery/tests.rs
@@ -1,5 +1,6 @@
-//! Lists that are applied, maintenance above them, and a watch that is lost.
+//! Lists that are applied, maintenance that overrides them, and a watch that is lost.
 
+use super::endpoint_list::tests::HostCounts;
 use super::*;
 use crate::api::{Event, HostState, ListMode};
 use crate::net::task::spawn;
@@ -61,7 +62,7 @@
     }
 }
 
-/// A watch whose answer is lost: the next check of the full list finds what changed, and a list that is no newer than
+/// The answer to a watch is lost: the next check of the full list finds the change, and a list that is no newer than
 /// the one in force changes nothing.
 #[test]
 fn changes_missed_by_a_lost_watch_are_found_by_the_check() {
@@ -122,7 +123,7 @@
     });
 }
 
-/// However many hosts come and go, only those that are listed or have left just now are remembered.
+/// After any number of replaced hosts, only those that are listed or have left just now are remembered.
 #[test]
 fn names_of_gone_hosts_are_forgotten() {
     with_limiter(&[], |limiter| async move {
@@ -134,7 +135,12 @@
         }
         sleep(limiter.limits().upstream.drain_grace.get()).await;
         apply_list(client, 200, false, "s-50", "SERVING");
-        let counts = client.endpoints().borrow().counts();
-        assert_eq!(counts, (1, 1, 1));
+        let counts = client.endpoints().borrow().host_counts();
+        let only_the_last = HostCounts {
+            names: 1,
+            ids: 1,
+            listed: 1,
+        };
+        assert_eq!(counts, only_the_last);
     });
 }
--- a/src/net/stages/complete/tests.rs
+++ b/src/net/stages/complete/tests.rs
@@ -7,12 +7,14 @@
 use crate::net::tests::{next, with_limiter};
 use tokio::time::Instant;
 
-/// The first good attempt answers the client; a later one is reported to the engine and to nobody else.
+/// The first good attempt answers the client; a later one is reported to the engine only.
 #[test]
-fn one_answer_whatever_comes() {
+fn only_the_first_good_attempt_answers_the_client() {
     with_limiter(&[], |limiter| async move {
-        let (frontend, now) = (Rc::new(RecordingFrontend::default()), Instant::now());
-        let (engine, pipeline) = (limiter.engine(), limiter.pipeline());
+        let frontend = Rc::new(RecordingFrontend::default());
+        let now = Instant::now();
+        let engine = limiter.engine();
+        let pipeline = limiter.pipeline();
         engine
             .requests()
             .borrow_mut()
@@ -22,7 +24,8 @@
             let begun = engine.requests().borrow_mut().begin_attempt(order, now);
             begun.expect("within the cap")
         };
-        let (first, second) = (begin(), begin());
+        let first = begin();
+        let second = begin();
         let result = CallResult {
             value: b"bed".to_vec(),
             used: UsageFigures {
