--- a/tests/rules/main.rs
+++ b/tests/rules/main.rs
@@ -1,8 +1,5 @@
 //! Rules of the decision engine, each by the behaviour that keeps it.
 
-#[path = "../common/mod.rs"]
-mod common;
-
 mod final_answers;
 mod hosts;
 mod load_shedding;
--- a/tests/rules/succession.rs
+++ b/tests/rules/succession.rs
@@ -1,99 +1,108 @@
 //! A limiter that succeeds another continues from its snapshot.
 
-use crate::common::*;
-use quartzcleat::api::*;
+use quartzcleat::api::{Event, HostEntry, HostId, ListMode, Nanos, Settings};
 use quartzcleat::choice::{
     AdmissionSnapshot, CounterCallsSnapshot, EngineSnapshot, SlownessSnapshot, TimedUnits,
 };
+use quartzcleat_test_support::engine::{EndedAttempt, EngineHarness};
+use quartzcleat_test_support::settings::{
+    host_of_pair, settings, settings_with, IDEMPOTENT, MILLISECOND, SECOND,
+};
+
+/// The host that answers slowly in the predecessor.
+const SLOW: HostId = HostId(2);
+/// The host whose process the successor finds restarted.
+const RESTARTED: HostId = HostId(1);
 
 /// A limiter with measured answer times, requests of 31 customers and one attempt in flight.
-fn predecessor() -> Rig {
-    let mut rig = Rig::new(named_classes(), 3);
+fn predecessor() -> EngineHarness {
+    let mut harness = EngineHarness::new(settings_with_named_classes(), 3);
     for customer in 0..30 {
-        let (id, host) = rig.passed(0, customer);
-        let elapsed = if host == HostId(2) { 400 * MS } else { 20 * MS };
-        rig.ended(
-            id,
-            host,
-            Ended {
-                elapsed,
-                ..Ended::default()
-            },
-        );
+        let sent = harness.send(IDEMPOTENT, customer);
+        let elapsed = if sent.host == SLOW {
+            400 * MILLISECOND
+        } else {
+            20 * MILLISECOND
+        };
+        harness.end_attempt(EndedAttempt::good(sent.id, sent.host).after(elapsed));
     }
-    rig.passed(0, 99);
-    rig
+    harness.send(IDEMPOTENT, 99);
+    harness
 }
 
-fn named_classes() -> Settings {
-    let mut settings = settings();
-    for (class, name) in settings.classes.iter_mut().zip(["a", "b", "c", "d"]) {
-        class.name = name.into();
-    }
-    settings
+fn settings_with_named_classes() -> Settings {
+    settings_with(|settings| {
+        for (class, name) in settings.classes.iter_mut().zip(["a", "b", "c", "d"]) {
+            class.name = name.into();
+        }
+    })
 }
 
-/// A limiter that starts from a snapshot of a given age. The first of its hosts is a new process.
-fn successor(snapshot: &EngineSnapshot, age: u64) -> Rig {
-    let mut rig = Rig::new(named_classes(), 3);
+/// A limiter that starts from a snapshot of a given age. One of its hosts is a new process.
+fn successor(snapshot: &EngineSnapshot, age: Nanos) -> EngineHarness {
+    let mut harness = EngineHarness::new(settings_with_named_classes(), 3);
     let restarted = HostEntry {
-        started: rig.now,
-        ..paired(1)
+        started: harness.now,
+        ..host_of_pair(RESTARTED.0)
     };
-    rig.hosts(ListMode::Update, vec![restarted]);
-    rig.now += age;
-    let inherited = Event::SnapshotRestored {
+    harness.update_hosts(ListMode::Update, vec![restarted]);
+    harness.now += age;
+    let restored = Event::SnapshotRestored {
         snapshot: Box::new(snapshot.clone()),
     };
-    assert!(rig.event(inherited).is_empty());
-    rig
+    assert!(harness.handle(restored).is_empty());
+    harness
 }
 
-fn slowness(rig: &Rig, host: usize) -> f64 {
-    rig.engine.snapshot().hosts[host - 1].slowness.value
+fn slowness(harness: &EngineHarness, host: HostId) -> f64 {
+    let hosts = harness.engine.snapshot().hosts;
+    hosts[host.0 as usize - 1].slowness.value
 }
 
-/// A successor continues from the snapshot, but not for a host that is another process now and not for requests in
-/// flight.
 #[test]
-fn successor_continues_from_snapshot() {
+fn successor_continues_from_measured_slowness() {
     let first = predecessor();
-    let snapshot = first.engine.snapshot();
-    assert!(slowness(&first, 2) > 2.0 && snapshot.customers.len() == 31);
-    let second = successor(&snapshot, 0);
-    assert_eq!(slowness(&second, 2), slowness(&first, 2));
-    assert_eq!(slowness(&second, 1), 1.0, "it is a new process");
-    let restored = second.engine.snapshot();
-    assert_eq!(
-        (
-            &restored.classes,
-            &restored.customers,
-            restored.concurrency_limit
-        ),
-        (
-            &snapshot.classes,
-            &snapshot.customers,
-            snapshot.concurrency_limit
-        )
-    );
+    assert!(slowness(&first, SLOW) > 2.0);
+    let second = successor(&first.engine.snapshot(), 0);
+    assert_eq!(slowness(&second, SLOW), slowness(&first, SLOW));
+}
+
+#[test]
+fn successor_does_not_apply_measurements_to_a_new_process() {
+    let second = successor(&predecessor().engine.snapshot(), 0);
+    assert_eq!(slowness(&second, RESTARTED), 1.0);
+}
+
+#[test]
+fn successor_continues_from_classes_customers_and_concurrency_limit() {
+    let snapshot = predecessor().engine.snapshot();
+    assert_eq!(snapshot.customers.len(), 31);
+    let restored = successor(&snapshot, 0).engine.snapshot();
+    assert_eq!(restored.classes, snapshot.classes);
+    assert_eq!(restored.customers, snapshot.customers);
+    assert_eq!(restored.concurrency_limit, snapshot.concurrency_limit);
     assert_eq!(restored.classes.len(), settings().classes.len() + 1);
-    assert_eq!(
-        second.engine.status().in_flight,
-        0,
-        "attempts in flight stay with the first"
-    );
+}
+
+#[test]
+fn attempts_in_flight_stay_with_the_predecessor() {
+    let second = successor(&predecessor().engine.snapshot(), 0);
+    assert_eq!(second.engine.status().in_flight, 0);
 }
 
 #[test]
 fn successor_ignores_an_old_snapshot() {
     let snapshot = predecessor().engine.snapshot();
-    let customers = successor(&snapshot, 11 * S).engine.snapshot().customers;
+    let customers = successor(&snapshot, 11 * SECOND)
+        .engine
+        .snapshot()
+        .customers;
     assert_eq!(customers, []);
 }
 
-#[test]
-fn successor_ignores_values_out_of_range() {
-    let mut broken = EngineSnapshot {
+/// A snapshot whose values are all out of range.
+fn malformed_snapshot() -> EngineSnapshot {
+    let mut snapshot = EngineSnapshot {
         counter_calls: CounterCallsSnapshot {
             ratio: f64::NAN,
             mean_need: -1.0,
@@ -107,7 +116,7 @@
         concurrency_limit: f64::NAN,
         ..predecessor().engine.snapshot()
     };
-    for host in &mut broken.hosts {
+    for host in &mut snapshot.hosts {
         host.slowness = SlownessSnapshot {
             value: -5.0,
             evidence: 1e300,
@@ -115,24 +124,26 @@
         };
         host.concurrency_limit = 0.0;
     }
-    for customer in &mut broken.customers {
+    for customer in &mut snapshot.customers {
         customer.totals.current = f64::NAN;
         customer.recent_units = TimedUnits {
             units: 1e300,
             at: u64::MAX,
         };
     }
-    let mut rig = successor(&broken, 0);
-    let fresh = Rig::new(named_classes(), 3).engine.snapshot();
-    let restored = rig.engine.snapshot();
-    assert_eq!(
-        (
-            restored.counter_calls.ratio,
-            restored.admission.ratio,
-            restored.concurrency_limit
-        ),
-        (fresh.counter_calls.ratio, 1.0, fresh.concurrency_limit)
-    );
-    let (id, host) = rig.passed(0, 5);
-    rig.done(id, 0, host, Outcome::Good, true);
+    snapshot
+}
+
+/// It starts like a limiter without a snapshot, and serves requests.
+#[test]
+fn successor_ignores_values_out_of_range() {
+    let mut harness = successor(&malformed_snapshot(), 0);
+    let fresh = EngineHarness::new(settings_with_named_classes(), 3);
+    let fresh = fresh.engine.snapshot();
+    let restored = harness.engine.snapshot();
+    assert_eq!(restored.counter_calls.ratio, fresh.counter_calls.ratio);
+    assert_eq!(restored.admission.ratio, 1.0);
+    assert_eq!(restored.concurrency_limit, fresh.concurrency_limit);
+    let sent = harness.send(IDEMPOTENT, 5);
+    harness.serve(sent);
 }
