--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -1,11 +1,17 @@
 //! Random event orders with a fixed seed: one final answer, one attempt in flight, effects, the ceiling, and the
 //! same actions for the same events.
 
-mod common;
-use common::*;
-use proptest::prelude::*;
+use proptest::prelude::{any, prop_assert_eq, Strategy};
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use quartzcleat::api::*;
+use quartzcleat::api::{
+    Action, AttemptIndex, CellId, ClassIndex, HostId, Nanos, Outcome, RequestId, Timer,
+};
+use quartzcleat_test_support::actions::Actions;
+use quartzcleat_test_support::engine::{EndedAttempt, EngineHarness};
+use quartzcleat_test_support::settings::{
+    cell_of_pair, settings_with, DEDUP_WINDOW, IDEMPOTENT, KEYED_EVERYWHERE, KEYED_WITHIN_CELL,
+    MILLISECOND, SECOND, UNSAFE,
+};
 use std::collections::BTreeMap;
 
 #[derive(Clone, Copy, Debug)]
@@ -17,31 +23,31 @@
 
 #[derive(Clone, Copy)]
 struct AttemptInFlight {
-    attempt: u32,
+    attempt: AttemptIndex,
     host: HostId,
-    sent_at: u64,
+    sent_at: Nanos,
 }
 
 /// The first attempt that may have run.
 #[derive(Clone, Copy)]
 struct FirstRun {
-    cell: u32,
-    sent_at: u64,
+    cell: CellId,
+    sent_at: Nanos,
 }
 
 struct PendingTimer {
-    due: u64,
+    due: Nanos,
     timer: Timer,
 }
 
 #[derive(Default)]
 struct RequestState {
-    class: u32,
+    class: ClassIndex,
     units: f64,
     in_flight: Option<AttemptInFlight>,
     attempts: u32,
     first_run: Option<FirstRun>,
-    closed: bool,
+    is_closed: bool,
 }
 
 #[derive(Default)]
@@ -66,7 +72,7 @@
             .copied()
     }
 
-    fn check(&mut self, now: u64, actions: Vec<Action>) {
+    fn check(&mut self, now: Nanos, actions: Actions) {
         for action in actions {
             self.log.push(format!("{action:?}"));
             match action {
@@ -74,9 +80,10 @@
                 Action::Reject { id, .. } => {
                     let request = self.close(id);
                     let may_have_run = request.first_run.is_some() || request.in_flight.is_some();
+                    let is_retry_harmless = [IDEMPOTENT, KEYED_EVERYWHERE].contains(&request.class);
                     assert!(
-                        request.class == 0 || request.class == 2 || !may_have_run,
-                        "refused though it may have run"
+                        is_retry_harmless || !may_have_run,
+                        "rejected though it may have run"
                     );
                 }
                 Action::Fail { id } => {
@@ -99,20 +106,20 @@
     /// Closes a request by its final answer.
     fn close(&mut self, id: RequestId) -> &mut RequestState {
         let request = self.request(id);
-        assert!(!request.closed, "two final answers");
-        request.closed = true;
+        assert!(!request.is_closed, "two final answers");
+        request.is_closed = true;
         request
     }
 
-    fn check_attempt(&mut self, now: u64, id: RequestId, host: HostId) {
+    fn check_attempt(&mut self, now: Nanos, id: RequestId, host: HostId) {
         let request = self.request(id);
-        assert!(!request.closed, "sent after its final answer");
+        assert!(!request.is_closed, "sent after its final answer");
         assert!(request.in_flight.is_none(), "two attempts in flight");
         match (request.class, request.first_run) {
-            (3, Some(_)) => panic!("an unsafe request was repeated"),
-            (1, Some(run)) => {
-                assert_eq!(cell_of(host), run.cell, "keyed request left its cell");
-                let end = run.sent_at + 2 * S;
+            (UNSAFE, Some(_)) => panic!("an unsafe request was repeated"),
+            (KEYED_WITHIN_CELL, Some(run)) => {
+                assert_eq!(cell_of_pair(host), run.cell, "keyed request left its cell");
+                let end = run.sent_at + DEDUP_WINDOW;
                 assert!(now < end, "keyed request repeated after its time");
             }
             _ => {}
@@ -120,7 +127,7 @@
         let is_first = request.attempts == 0;
         let units = request.units;
         request.in_flight = Some(AttemptInFlight {
-            attempt: request.attempts,
+            attempt: AttemptIndex(request.attempts),
             host,
             sent_at: now,
         });
@@ -137,27 +144,28 @@
 
 /// Runs the steps, then lets time pass until each request is answered; returns all actions.
 fn run_steps(steps: &[Step]) -> Vec<String> {
-    let mut settings = settings();
-    settings.plans[0].ceiling_rate = CEILING_RATE;
-    settings.plans[0].ceiling_burst = 40.0;
-    let mut rig = Rig::new(settings, 6);
+    let settings = settings_with(|settings| {
+        settings.plans[0].ceiling_rate = CEILING_RATE;
+        settings.plans[0].ceiling_burst = 40.0;
+    });
+    let mut harness = EngineHarness::new(settings, 6);
     let mut run = Run::default();
-    let start = rig.now;
+    let start = harness.now;
     for step in steps {
-        rig.now += u64::from(step.wait) * MS;
+        harness.now += u64::from(step.wait) * MILLISECOND;
         match step.kind {
-            0..=2 => send_request(&mut rig, &mut run, step.pick),
-            3..=4 if !run.calls.is_empty() => reply_to_call(&mut rig, &mut run, step.pick),
+            0..=2 => send_request(&mut harness, &mut run, step.pick),
+            3..=4 if !run.calls.is_empty() => reply_to_call(&mut harness, &mut run, step.pick),
             5..=6 => {
                 let Some(id) = run.pick_in_flight(step.pick) else {
                     continue;
                 };
-                finish_attempt(&mut rig, &mut run, id, attempt_outcome(step.pick));
+                finish_attempt(&mut harness, &mut run, id, attempt_outcome(step.pick));
             }
             _ => {}
         }
-        run_timers(&mut rig, &mut run);
-        let allowed = CEILING_RATE / LIMITERS * (rig.now - start) as f64 / S as f64;
+        run_timers(&mut harness, &mut run);
+        let allowed = CEILING_RATE / LIMITERS * (harness.now - start) as f64 / SECOND as f64;
         assert!(
             run.sent_units <= allowed + 1e-6,
             "{} units past a share of {allowed}",
@@ -165,30 +173,30 @@
         );
     }
     for _ in 0..800 {
-        rig.now += 4 * MS;
-        run_timers(&mut rig, &mut run);
+        harness.now += 4 * MILLISECOND;
+        run_timers(&mut harness, &mut run);
     }
     assert!(
-        run.requests.values().all(|request| request.closed),
+        run.requests.values().all(|request| request.is_closed),
         "a request was left without an answer"
     );
     run.log
 }
 
-fn send_request(rig: &mut Rig, run: &mut Run, pick: u16) {
-    let class = u32::from(pick % 4);
+fn send_request(harness: &mut EngineHarness, run: &mut Run, pick: u16) {
+    let class = ClassIndex(u32::from(pick % 4));
     let units = f64::from(1 + pick % 3);
     let request = RequestState {
         class,
         units,
         ..RequestState::default()
     };
-    run.requests.insert(rig.next_id(), request);
-    let actions = rig.request(class, 5, units).1;
-    run.check(rig.now, actions);
+    run.requests.insert(harness.next_id(), request);
+    let actions = harness.request(class, 5, units).actions;
+    run.check(harness.now, actions);
 }
 
-fn reply_to_call(rig: &mut Rig, run: &mut Run, pick: u16) {
+fn reply_to_call(harness: &mut EngineHarness, run: &mut Run, pick: u16) {
     let name = run.calls.remove(usize::from(pick) % run.calls.len());
     let outcomes = [
         Outcome::Good,
@@ -197,8 +205,8 @@
         Outcome::Rejected,
     ];
     let outcome = outcomes[usize::from(pick) % outcomes.len()];
-    let actions = rig.counted(&name, outcome, f64::from(pick % 90));
-    run.check(rig.now, actions);
+    let actions = harness.end_call(&name, outcome, f64::from(pick % 90));
+    run.check(harness.now, actions);
 }
 
 fn attempt_outcome(pick: u16) -> Outcome {
@@ -212,12 +220,7 @@
     outcomes[usize::from(pick) % outcomes.len()]
 }
 
-/// The cell of a host of the rig, which has two to a cell.
-fn cell_of(host: HostId) -> u32 {
-    host.0.div_ceil(2)
-}
-
-fn finish_attempt(rig: &mut Rig, run: &mut Run, id: RequestId, outcome: Outcome) {
+fn finish_attempt(harness: &mut EngineHarness, run: &mut Run, id: RequestId, outcome: Outcome) {
     let request = run.requests.get_mut(&id).expect("known");
     let AttemptInFlight {
         attempt,
@@ -226,23 +229,27 @@
     } = request.in_flight.take().expect("an attempt in flight");
     if !outcome.never_ran() && request.first_run.is_none() {
         request.first_run = Some(FirstRun {
-            cell: cell_of(host),
+            cell: cell_of_pair(host),
             sent_at,
         });
     }
-    let over = request.closed || outcome == Outcome::Good;
-    request.closed = over;
-    let actions = rig.done(id, attempt, host, outcome, over);
-    run.check(rig.now, actions);
+    let is_request_finished = request.is_closed || outcome == Outcome::Good;
+    request.is_closed = is_request_finished;
+    let actions = harness.end_attempt(EndedAttempt {
+        attempt,
+        is_request_finished,
+        ..EndedAttempt::new(id, host, outcome)
+    });
+    run.check(harness.now, actions);
 }
 
-fn run_timers(rig: &mut Rig, run: &mut Run) {
-    let now = rig.now;
+fn run_timers(harness: &mut EngineHarness, run: &mut Run) {
+    let now = harness.now;
     let timers = std::mem::take(&mut run.timers);
     let (due, later): (Vec<_>, Vec<_>) = timers.into_iter().partition(|timer| timer.due <= now);
     run.timers = later;
     for pending in due {
-        let actions = rig.timer(pending.timer);
+        let actions = harness.fire(pending.timer);
         run.check(now, actions);
     }
 }
@@ -265,5 +272,5 @@
             prop_assert_eq!(run_steps(&steps), run_steps(&steps));
             Ok(())
         })
-        .unwrap();
+        .expect("the rules hold");
 }
