--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -1,8 +1,13 @@
 //! What integration tests of several targets share. Only tests use it.
 //!
-//! [`engine`] drives a decision engine by hand, [`settings`] are the small settings that such tests start from, and
-//! [`actions`] answers what an engine ordered.
+//! For the decision engine: [`engine`] drives one by hand, [`settings`] are the small settings that such tests start from,
+//! and [`actions`] answers what an engine ordered.
+//!
+//! For the program: [`limiter`] starts a process beside a [`toy_platform`], and [`commands`] are what a client sends it.
 
 pub mod actions;
+pub mod commands;
 pub mod engine;
+pub mod limiter;
 pub mod settings;
+pub mod toy_platform;
--- a/tests/compatibility/main.rs
+++ b/tests/compatibility/main.rs
@@ -2,23 +2,24 @@
 
 mod usage;
 
-#[path = "../process/mod.rs"]
-mod process;
-#[path = "../toy/mod.rs"]
-mod toy;
-
-use process::{ask, request, served, start, CHECK};
+use quartzcleat_test_support::commands::{request, send, served, CHECK_FACTS};
+use quartzcleat_test_support::limiter::LimiterSetup;
 use std::time::{Duration, Instant};
 
+/// A limiter of this build.
+fn limiter_setup(number: u8) -> LimiterSetup {
+    LimiterSetup::new(env!("CARGO_BIN_EXE_quartzcleat"), number)
+}
+
 const STATE: &str = include_str!("data/state.json");
 
 /// A host that an earlier process's state file tells to be under maintenance gets nothing until it is enabled.
 #[test]
 fn maintenance_in_a_stored_state_file_holds() {
-    let limiter = start(203, false, |text| text);
+    let limiter = limiter_setup(203).start();
     let mut client = limiter.connect();
     assert_eq!(
-        ask(&mut client, &request("Q.ASK", 1, CHECK, ""), 1),
+        send(&mut client, &request("Q.ASK", 1, CHECK_FACTS, ""), 1),
         served(1)
     );
     let state = STATE.replace("LISTEN", &limiter.address.to_string());
@@ -32,12 +33,12 @@
             since.elapsed() < Duration::from_secs(10),
             "the state file is not read"
         );
-        let few = CHECK.replace("units=1", "units=0.01");
-        !ask(&mut client, &request("Q.ASK", id, &few, ""), 1).starts_with('$')
+        let few = CHECK_FACTS.replace("units=1", "units=0.01");
+        !send(&mut client, &request("Q.ASK", id, &few, ""), 1).starts_with('$')
     });
     assert!(rejected);
     assert_eq!(
-        limiter.call("PUT", "/servers/enable", r#"{"host":"toy-0"}"#),
+        limiter.call_admin("PUT", "/servers/enable", r#"{"host":"toy-0"}"#),
         200
     );
     // A host that is back is warming up, so not every request is given to it; one of the first soon is.
@@ -46,8 +47,8 @@
             since.elapsed() < Duration::from_secs(10),
             "the host is not used again"
         );
-        let few = CHECK.replace("units=1", "units=0.01");
-        ask(&mut limiter.connect(), &request("Q.ASK", id, &few, ""), 1).starts_with('$')
+        let few = CHECK_FACTS.replace("units=1", "units=0.01");
+        send(&mut limiter.connect(), &request("Q.ASK", id, &few, ""), 1).starts_with('$')
     });
     assert!(served_again);
 }
@@ -56,15 +57,15 @@
 #[test]
 fn hosts_of_the_configured_snapshot_are_known() {
     let empty = r#"{ "generation": 1, "reset": true, "instances": [] }"#;
-    let limiter = start(204, false, |text| {
-        text.replace(empty, include_str!("data/known.json").trim())
-    });
+    let limiter = limiter_setup(204)
+        .with_config(move |text| text.replace(empty, include_str!("data/known.json").trim()))
+        .start();
     assert_eq!(
-        limiter.call("PUT", "/servers/disable", r#"{"host":"toy-9"}"#),
+        limiter.call_admin("PUT", "/servers/disable", r#"{"host":"toy-9"}"#),
         200
     );
     assert_eq!(
-        limiter.call("PUT", "/servers/disable", r#"{"host":"toy-8"}"#),
+        limiter.call_admin("PUT", "/servers/disable", r#"{"host":"toy-8"}"#),
         404
     );
 }
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -1,13 +1,16 @@
 //! Events that cross on a limiter's sockets, forced: see docs/crossings.md.
 
-mod process;
-mod toy;
-
-use process::{ask, request, served, start, start_beside_a_silent_platform, CHECK};
+use quartzcleat_test_support::commands::{request, send, served, CHECK_FACTS};
+use quartzcleat_test_support::limiter::LimiterSetup;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, TcpStream};
 use std::time::{Duration, Instant};
 
+/// A limiter of this build.
+fn limiter_setup(number: u8) -> LimiterSetup {
+    LimiterSetup::new(env!("CARGO_BIN_EXE_quartzcleat"), number)
+}
+
 /// Reads to the end of a connection; what came, or how it ended instead.
 fn rest(client: &mut TcpStream) -> Result<String, ErrorKind> {
     let mut text = String::new();
@@ -21,9 +24,9 @@
 /// reset that would take it along.
 #[test]
 fn a_last_answer_outlives_the_close_over_bytes_that_nobody_reads() {
-    let limiter = start(60, false, |text| text);
+    let limiter = limiter_setup(60).start();
     let mut client = limiter.connect();
-    let bytes = request("Q.ASK", 1, CHECK, "") + "PING\r\n" + &"x".repeat(8 << 20);
+    let bytes = request("Q.ASK", 1, CHECK_FACTS, "") + "PING\r\n" + &"x".repeat(8 << 20);
     client
         .write_all(bytes.as_bytes())
         .expect("the limiter goes on taking what it drops");
@@ -63,9 +66,9 @@
 /// A client that goes behind bytes that cannot be read is gone for its earlier requests too.
 #[test]
 fn a_client_that_goes_behind_malformed_bytes_is_gone() {
-    let limiter = start(61, false, |text| {
-        long_time(text).replace("\"openCap\": 20000", "\"openCap\": 1")
-    });
+    let limiter = limiter_setup(61)
+        .with_config(move |text| long_time(text).replace("\"openCap\": 20000", "\"openCap\": 1"))
+        .start();
     let mut client = limiter.connect();
     is_let_go(
         &mut client,
@@ -73,7 +76,11 @@
     );
     // Its place is free again.
     assert_eq!(
-        ask(&mut limiter.connect(), &request("Q.ASK", 2, CHECK, ""), 1),
+        send(
+            &mut limiter.connect(),
+            &request("Q.ASK", 2, CHECK_FACTS, ""),
+            1
+        ),
         served(2)
     );
 }
@@ -81,7 +88,7 @@
 /// The same behind more requests than are taken at once, and behind more than are read at all.
 #[test]
 fn a_client_that_goes_behind_more_than_is_taken_at_once_is_gone() {
-    let limiter = start(62, false, long_time);
+    let limiter = limiter_setup(62).with_config(long_time).start();
     for count in [2_000, 20_000] {
         let many: String = (1..count)
             .map(|id| request("Q.ASK", id, WAITS, "silent"))
@@ -89,7 +96,7 @@
         is_let_go(&mut limiter.connect(), &many);
     }
     assert_eq!(
-        ask(&mut limiter.connect(), "*1\r\n$4\r\nPING\r\n", 1),
+        send(&mut limiter.connect(), "*1\r\n$4\r\nPING\r\n", 1),
         "+PONG\r\n"
     );
 }
@@ -99,14 +106,20 @@
 #[test]
 fn a_process_is_ready_while_discovery_and_the_counter_are_silent() {
     let began = Instant::now();
-    let (limiter, _silent) = start_beside_a_silent_platform(63, true, |text| text);
+    let started = limiter_setup(63)
+        .with_silent_counter()
+        .start_beside_silent_platform();
     assert!(
         began.elapsed() < Duration::from_secs(10),
         "ready after {:?}",
         began.elapsed()
     );
     let asked = Instant::now();
-    let answer = ask(&mut limiter.connect(), &request("Q.ASK", 1, CHECK, ""), 1);
+    let answer = send(
+        &mut started.limiter.connect(),
+        &request("Q.ASK", 1, CHECK_FACTS, ""),
+        1,
+    );
     assert!(answer.starts_with("-BUSY"), "it knows of no host: {answer}");
     assert!(
         asked.elapsed() < Duration::from_secs(1),
@@ -120,19 +133,28 @@
 #[test]
 fn idle_clients_keep_no_descriptor_from_discovery_hosts_and_new_clients() {
     let small = |text: String| text.replace("\"sockets\": 1024", "\"sockets\": 128");
-    let (limiter, wake) = start_beside_a_silent_platform(64, true, small);
+    let started = limiter_setup(64)
+        .with_silent_counter()
+        .with_config(small)
+        .start_beside_silent_platform();
     // Twice as many as it may hold at all; those that made room for later ones have ended, which is theirs to find out.
-    let crowd: Vec<_> = (0..256).map(|_| limiter.connect()).collect();
-    let open = std::fs::read_dir(format!("/proc/{}/fd", limiter.child.id()))
+    let crowd: Vec<_> = (0..256).map(|_| started.limiter.connect()).collect();
+    let open = std::fs::read_dir(format!("/proc/{}/fd", started.limiter.child.id()))
         .expect("it runs")
         .count();
     assert!(
         (64..128).contains(&open),
         "{open} descriptors of 128, most of them clients'"
     );
-    wake.send(()).expect("the toy serves from now on");
+    started.wake_platform();
     let since = Instant::now();
-    let answers = (1..).map(|id| ask(&mut limiter.connect(), &request("Q.ASK", id, CHECK, ""), 1));
+    let answers = (1..).map(|id| {
+        send(
+            &mut started.limiter.connect(),
+            &request("Q.ASK", id, CHECK_FACTS, ""),
+            1,
+        )
+    });
     let first = answers
         .take_while(|answer| answer.starts_with("-BUSY"))
         .count();
--- a/tests/golden/admin.rs
+++ b/tests/golden/admin.rs
@@ -1,33 +1,19 @@
 //! The admin interface's whole responses: body, headers and status, also for calls that are late, too long or too early.
 
-use crate::assert_golden;
-use crate::process::{request, start, start_process, Limiter, Services, HOLD};
+use crate::{assert_golden, limiter_setup};
 use quartzcleat_fakes::process::Signal;
-use std::io::{Read, Write};
-use std::net::{SocketAddr, TcpListener, TcpStream};
-use std::time::{Duration, Instant};
+use quartzcleat_test_support::commands::{
+    exchange_with_admin, request, ANSWER_TIMEOUT, HOLD_FACTS,
+};
+use quartzcleat_test_support::limiter::{Limiter, Services};
+use std::io::Write;
+use std::net::TcpListener;
+use std::time::Instant;
 
-const READ_TIMEOUT: Duration = Duration::from_secs(20);
 const READY: &str = "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n";
 /// More than a head or a body may have.
 const TOO_LONG_BYTES: usize = 9 << 10;
 
-/// Sends bytes, and returns all that is received until the connection ends.
-fn exchange(console: SocketAddr, bytes: &str) -> String {
-    let mut stream = TcpStream::connect(console).expect("the console listens");
-    stream
-        .set_read_timeout(Some(READ_TIMEOUT))
-        .expect("a time-out is set");
-    stream
-        .write_all(bytes.as_bytes())
-        .expect("the console reads");
-    let mut response = String::new();
-    stream
-        .read_to_string(&mut response)
-        .expect("the console answers");
-    response
-}
-
 fn record(name: &str, response: &str) -> String {
     format!("{name}: {}\n", response.escape_debug())
 }
@@ -39,7 +25,7 @@
 
 #[test]
 fn responses_are_these_bytes() {
-    let limiter = start(231, false, |text| text);
+    let limiter = limiter_setup(231).start();
     let mut transcript = String::new();
     for (name, call) in [
         ("ready", READY.to_owned()),
@@ -63,28 +49,28 @@
         ("draining", READY.to_owned()),
         ("undrain", put("/undrain", "")),
     ] {
-        transcript += &record(name, &exchange(limiter.console, &call));
+        transcript += &record(name, &exchange_with_admin(limiter.admin, &call));
     }
     assert_golden("wire-admin-responses.txt", &transcript);
 }
 
 #[test]
 fn a_call_that_is_too_long_gets_413() {
-    let limiter = start(232, false, |text| text);
+    let limiter = limiter_setup(232).start();
     let endless_head = format!(
         "GET /ready HTTP/1.1\r\nHost: {}",
         "x".repeat(TOO_LONG_BYTES)
     );
     let long_body = format!("PUT /drain HTTP/1.1\r\nContent-Length: {TOO_LONG_BYTES}\r\n\r\n");
-    let transcript = record("head", &exchange(limiter.console, &endless_head))
-        + &record("body", &exchange(limiter.console, &long_body));
+    let transcript = record("head", &exchange_with_admin(limiter.admin, &endless_head))
+        + &record("body", &exchange_with_admin(limiter.admin, &long_body));
     assert_golden("wire-admin-413.txt", &transcript);
 }
 
 #[test]
 fn a_call_that_never_ends_gets_408() {
-    let limiter = start(233, false, |text| text);
-    let response = exchange(limiter.console, "GET /ready HTTP/1.1\r\n");
+    let limiter = limiter_setup(233).start();
+    let response = exchange_with_admin(limiter.admin, "GET /ready HTTP/1.1\r\n");
     assert_golden("wire-admin-408.txt", &record("half a head", &response));
 }
 
@@ -97,18 +83,18 @@
         discovery: address,
         counter: address,
     };
-    let limiter = start_process(234, services, |text| text);
+    let limiter = limiter_setup(234).start_beside(services);
     drop(limiter.connect());
-    let response = exchange(limiter.console, &put("/servers/disable", r#"{"host":"x"}"#));
+    let response = exchange_with_admin(limiter.admin, &put("/servers/disable", r#"{"host":"x"}"#));
     assert_golden("wire-admin-503.txt", &record("no list yet", &response));
 }
 
 /// After SIGTERM the process is ready until connections are closed; then it says that it ends.
 #[test]
 fn a_limiter_that_ends_gives_503() {
-    let limiter = start(235, false, |text| text);
+    let limiter = limiter_setup(235).start();
     let mut client = limiter.connect();
-    let facts = HOLD.replace("d=900", "d=3500");
+    let facts = HOLD_FACTS.replace("d=900", "d=3500");
     client
         .write_all(request("Q.DO", 1, &facts, "silent").as_bytes())
         .expect("the limiter reads");
@@ -121,10 +107,10 @@
 fn wait_until_not_ready(limiter: &Limiter) -> String {
     let began = Instant::now();
     loop {
-        let response = exchange(limiter.console, READY);
+        let response = exchange_with_admin(limiter.admin, READY);
         if !response.starts_with("HTTP/1.1 200 ") {
             return response;
         }
-        assert!(began.elapsed() < READ_TIMEOUT, "still ready: {response}");
+        assert!(began.elapsed() < ANSWER_TIMEOUT, "still ready: {response}");
     }
 }
--- a/tests/golden/handoff.rs
+++ b/tests/golden/handoff.rs
@@ -3,9 +3,10 @@
 //! The test takes the place of the second process: a state file and a lock of its own are all that the first one sees
 //! of it. Times, addresses and measured durations stand as names in angle brackets.
 
-use crate::assert_golden;
-use crate::process::{ask, request, start, Limiter, CHECK, HOLD};
 use crate::quota_window::{with_long_window, within_one_window, FEW_UNITS};
+use crate::{assert_golden, limiter_setup};
+use quartzcleat_test_support::commands::{request, send, CHECK_FACTS, HOLD_FACTS};
+use quartzcleat_test_support::limiter::Limiter;
 use std::fs::File;
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
@@ -99,11 +100,11 @@
 
 /// The handoff of a limiter that has served two requests.
 fn record_handoff() -> String {
-    let limiter = start(241, false, with_long_window);
+    let limiter = limiter_setup(241).with_config(with_long_window).start();
     let mut client = limiter.connect();
-    for (id, verb, facts) in [(1, "Q.ASK", CHECK), (2, "Q.DO", HOLD)] {
+    for (id, verb, facts) in [(1, "Q.ASK", CHECK_FACTS), (2, "Q.DO", HOLD_FACTS)] {
         let command = request(verb, id, &facts.replace("units=1", FEW_UNITS), "");
-        assert!(ask(&mut client, &command, 1).starts_with('$'));
+        assert!(send(&mut client, &command, 1).starts_with('$'));
     }
     let handoff = Successor::publish(&limiter).receive_handoff();
     without_measurements(&handoff, &limiter.address.to_string())
--- a/tests/golden/limiter.rs
+++ b/tests/golden/limiter.rs
@@ -1,16 +1,7 @@
 //! The limiter on sockets: answers to clients' commands, and the admin console's codes.
 
-use crate::assert_golden;
-use crate::process::{ask, call, start, CHECK, HOLD};
-
-fn command(words: &[&str]) -> String {
-    let words: String = words
-        .iter()
-        .map(|word| format!("${}\r\n{word}\r\n", word.len()))
-        .collect();
-    let count = words.matches("$").count();
-    format!("*{count}\r\n{words}")
-}
+use crate::{assert_golden, limiter_setup};
+use quartzcleat_test_support::commands::{call_admin, command, send, CHECK_FACTS, HOLD_FACTS};
 
 const CUSTOMER: &str = "000000000000004d";
 const ID: &str = "0000000000000001";
@@ -53,22 +44,22 @@
         command(&["SELECT", "0"]),
         command(&["HELLO"]),
         command(&["Q.ASK", CUSTOMER, ID]),
-        command(&["Q.ASK", CUSTOMER, ID, CHECK, "a", "b"]),
-        command(&["Q.ASK", "4d", ID, CHECK]),
-        command(&["Q.ASK", "0000000200000000", ID, CHECK]),
-        command(&["Q.ASK", CUSTOMER, "1", CHECK]),
+        command(&["Q.ASK", CUSTOMER, ID, CHECK_FACTS, "a", "b"]),
+        command(&["Q.ASK", "4d", ID, CHECK_FACTS]),
+        command(&["Q.ASK", "0000000200000000", ID, CHECK_FACTS]),
+        command(&["Q.ASK", CUSTOMER, "1", CHECK_FACTS]),
         request("Q.ASK", "c"),
-        request("Q.DO", CHECK),
-        request("Q.ASK", HOLD),
-        request("Q.DO", &HOLD.replace("k=", "r=")),
-        request("Q.ASK", CHECK),
-        command(&["Q.DO", CUSTOMER, "0000000000000002", HOLD, "body"]),
+        request("Q.DO", CHECK_FACTS),
+        request("Q.ASK", HOLD_FACTS),
+        request("Q.DO", &HOLD_FACTS.replace("k=", "r=")),
+        request("Q.ASK", CHECK_FACTS),
+        command(&["Q.DO", CUSTOMER, "0000000000000002", HOLD_FACTS, "body"]),
         command(&["q.do", CUSTOMER, ID]),
     ]
 }
 
 fn request_with_wrong_fact((key, wrong): (&str, &str)) -> String {
-    let facts: Vec<_> = CHECK
+    let facts: Vec<_> = CHECK_FACTS
         .split(',')
         .map(|fact| if fact.starts_with(key) { wrong } else { fact })
         .collect();
@@ -77,7 +68,7 @@
 
 #[test]
 fn each_command_gets_its_exact_answer() {
-    let limiter = start(201, false, |text| text);
+    let limiter = limiter_setup(201).start();
     let mut cases = well_formed_commands();
     cases.extend(WRONG_FACTS.map(request_with_wrong_fact));
     cases.extend(MALFORMED.map(str::to_owned));
@@ -85,7 +76,7 @@
     let transcript: String = cases
         .iter()
         .map(|case| {
-            let answer = ask(&mut limiter.connect(), case, 1);
+            let answer = send(&mut limiter.connect(), case, 1);
             format!("> {}\n< {}\n", case.escape_debug(), answer.escape_debug())
         })
         .collect();
@@ -94,7 +85,7 @@
 
 #[test]
 fn each_admin_call_gets_its_status() {
-    let limiter = start(202, false, |text| text);
+    let limiter = limiter_setup(202).start();
     let host = r#"{"host":"toy-0"}"#;
     let mut transcript = String::new();
     for (method, path, body) in [
@@ -121,7 +112,7 @@
         ("PUT", "/undrain", ""),
         ("GET", "/ready", ""),
     ] {
-        let status = call(limiter.console, method, path, body);
+        let status = call_admin(limiter.admin, method, path, body);
         transcript += &format!("{method} {path} {body} => {status}\n");
     }
     assert_golden("wire-admin.txt", &transcript);
--- a/tests/golden/main.rs
+++ b/tests/golden/main.rs
@@ -16,11 +16,7 @@
 mod simulator;
 mod start_errors;
 
-#[path = "../process/mod.rs"]
-mod process;
-#[path = "../toy/mod.rs"]
-mod toy;
-
+use quartzcleat_test_support::limiter::LimiterSetup;
 use std::path::PathBuf;
 
 /// The program that speaks the simulator's protocol.
@@ -30,6 +26,11 @@
 /// The limiter.
 const LIMITER: &str = env!("CARGO_BIN_EXE_quartzcleat");
 
+/// A limiter of this build.
+fn limiter_setup(number: u8) -> LimiterSetup {
+    LimiterSetup::new(LIMITER, number)
+}
+
 fn data(name: &str) -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR"))
         .join("tests/golden/data")
--- a/tests/golden/rejections.rs
+++ b/tests/golden/rejections.rs
@@ -1,15 +1,15 @@
 //! The errors that clients get for sound requests: `-ERR draining`, `-BUSY` and `-ERR failed`.
 
-use crate::assert_golden;
-use crate::process::{ask, request, start, Limiter, CHECK, HOLD};
+use crate::{assert_golden, limiter_setup};
+use quartzcleat_test_support::commands::{request, send, CHECK_FACTS, HOLD_FACTS, PING};
+use quartzcleat_test_support::limiter::Limiter;
 use std::net::TcpStream;
 
-const PING: &str = "*1\r\n$4\r\nPING\r\n";
 const TOY: &str = r#"{"host":"toy-0"}"#;
 
 /// Sends commands in one write, and returns what was sent with the answers.
 fn exchange(client: &mut TcpStream, commands: &str, answers: usize) -> String {
-    let received = ask(client, commands, answers);
+    let received = send(client, commands, answers);
     format!(
         "> {}\n< {}\n",
         commands.escape_debug(),
@@ -18,25 +18,25 @@
 }
 
 /// A limiter that lets a single request be in progress.
-fn start_with_one_open_request(number: u8, change: impl Fn(String) -> String) -> Limiter {
-    start(number, false, |text| {
-        change(text.replace("\"openCap\": 20000", "\"openCap\": 1"))
-    })
+fn start_with_one_open_request(number: u8, change: impl Fn(String) -> String + 'static) -> Limiter {
+    limiter_setup(number)
+        .with_config(move |text| change(text.replace("\"openCap\": 20000", "\"openCap\": 1")))
+        .start()
 }
 
 /// The first of them gets no answer of its host, so that the second one finds it in progress.
 fn two_requests() -> String {
-    request("Q.DO", 1, HOLD, "silent") + &request("Q.ASK", 2, CHECK, "")
+    request("Q.DO", 1, HOLD_FACTS, "silent") + &request("Q.ASK", 2, CHECK_FACTS, "")
 }
 
 #[test]
 fn a_draining_limiter_answers_pings_with_an_error() {
-    let limiter = start(221, false, |text| text);
+    let limiter = limiter_setup(221).start();
     let mut client = limiter.connect();
-    assert_eq!(limiter.call("PUT", "/drain", ""), 200);
-    let commands = PING.to_owned() + &request("Q.ASK", 1, CHECK, "") + PING;
+    assert_eq!(limiter.call_admin("PUT", "/drain", ""), 200);
+    let commands = PING.to_owned() + &request("Q.ASK", 1, CHECK_FACTS, "") + PING;
     let mut transcript = exchange(&mut client, &commands, 3);
-    assert_eq!(limiter.call("PUT", "/undrain", ""), 200);
+    assert_eq!(limiter.call_admin("PUT", "/undrain", ""), 200);
     transcript += &exchange(&mut limiter.connect(), PING, 1);
     assert_golden("wire-draining.txt", &transcript);
 }
@@ -59,19 +59,23 @@
 
 #[test]
 fn a_request_without_a_host_is_rejected() {
-    let limiter = start(224, false, |text| text);
-    assert_eq!(limiter.call("PUT", "/servers/disable", TOY), 200);
-    let transcript = exchange(&mut limiter.connect(), &request("Q.ASK", 1, CHECK, ""), 1);
+    let limiter = limiter_setup(224).start();
+    assert_eq!(limiter.call_admin("PUT", "/servers/disable", TOY), 200);
+    let transcript = exchange(
+        &mut limiter.connect(),
+        &request("Q.ASK", 1, CHECK_FACTS, ""),
+        1,
+    );
     assert_golden("wire-busy-without-host.txt", &transcript);
 }
 
 /// A retry in another cell would run it a second time, so that its client must not be asked for one.
 #[test]
 fn a_request_that_may_have_run_fails() {
-    let limiter = start(226, false, |text| {
-        text.replace("\"group\": \"all\"", "\"group\": \"cell\"")
-    });
-    let command = request("Q.DO", 1, HOLD, "silent");
+    let limiter = limiter_setup(226)
+        .with_config(move |text| text.replace("\"group\": \"all\"", "\"group\": \"cell\""))
+        .start();
+    let command = request("Q.DO", 1, HOLD_FACTS, "silent");
     let transcript = exchange(&mut limiter.connect(), &command, 1);
     assert_golden("wire-failed.txt", &transcript);
 }
@@ -79,24 +83,26 @@
 /// Where every connection has a response pending, one past the limit is rejected command by command.
 #[test]
 fn a_connection_past_the_limit_is_rejected() {
-    let limiter = start(225, false, |text| {
-        text.replace("\"sockets\": 1024", "\"sockets\": 128")
-            .replace(
-                "\"onTimeNs\": 2000000000, \"hardLimitNs\": 7500000000",
-                "\"onTimeNs\": 60000000000, \"hardLimitNs\": 60000000000",
-            )
-    });
+    let limiter = limiter_setup(225)
+        .with_config(move |text| {
+            text.replace("\"sockets\": 1024", "\"sockets\": 128")
+                .replace(
+                    "\"onTimeNs\": 2000000000, \"hardLimitNs\": 7500000000",
+                    "\"onTimeNs\": 60000000000, \"hardLimitNs\": 60000000000",
+                )
+        })
+        .start();
     let facts = "c=bed-check,t=operator,d=50000,units=0.1,spread=1,first=0";
     let _held: Vec<TcpStream> = (100..164)
         .map(|id| {
             let mut client = limiter.connect();
             // By the answer to the first command the second one has been read.
             let both = PING.to_owned() + &request("Q.ASK", id, facts, "silent");
-            assert_eq!(ask(&mut client, &both, 1), "+PONG\r\n");
+            assert_eq!(send(&mut client, &both, 1), "+PONG\r\n");
             client
         })
         .collect();
-    let commands = PING.to_owned() + &request("Q.ASK", 1, CHECK, "");
+    let commands = PING.to_owned() + &request("Q.ASK", 1, CHECK_FACTS, "");
     let transcript = exchange(&mut limiter.connect(), &commands, 3);
     assert_golden("wire-busy-connection.txt", &transcript);
 }
--- a/tests/golden/services.rs
+++ b/tests/golden/services.rs
@@ -3,10 +3,11 @@
 //! What depends on the clock stands as a name in angle brackets: the remaining wait of a request, the index of a
 //! counter's window, and the time for which the counter keeps it. Lengths in front of them are those of the name.
 
-use crate::assert_golden;
-use crate::process::{ask, request, start_process, Limiter, Services, CHECK, HOLD};
 use crate::quota_window::{current_window, with_long_window, within_one_window, FEW_UNITS};
 use crate::recorder::{with_arguments, RecordingService};
+use crate::{assert_golden, limiter_setup};
+use quartzcleat_test_support::commands::{request, send, CHECK_FACTS, HOLD_FACTS};
+use quartzcleat_test_support::limiter::{Limiter, Services};
 use std::net::SocketAddr;
 use std::sync::Mutex;
 
@@ -37,12 +38,14 @@
         }
     }
 
-    fn start_limiter(&self, number: u8, change: impl Fn(String) -> String) -> Limiter {
+    fn start_limiter(&self, number: u8, change: impl Fn(String) -> String + 'static) -> Limiter {
         let services = Services {
             discovery: self.discovery.address,
             counter: self.counter.address,
         };
-        start_process(number, services, change)
+        limiter_setup(number)
+            .with_config(change)
+            .start_beside(services)
     }
 
     /// Waits until the limiter has the endpoint list: it calls for the list, and then for changes of it.
@@ -140,18 +143,18 @@
     platform.wait_until_listed();
     let mut transcript = String::new();
     for (id, verb, facts, body) in [
-        (1, "Q.ASK", CHECK.to_owned(), ""),
-        (2, "q.ask", CHECK.to_owned(), "x"),
-        (3, "Q.DO", HOLD.to_owned(), "a bed"),
-        (4, "Q.DO", format!("{HOLD},r=1"), ""),
+        (1, "Q.ASK", CHECK_FACTS.to_owned(), ""),
+        (2, "q.ask", CHECK_FACTS.to_owned(), "x"),
+        (3, "Q.DO", HOLD_FACTS.to_owned(), "a bed"),
+        (4, "Q.DO", format!("{HOLD_FACTS},r=1"), ""),
         (
             5,
             "Q.ASK",
-            CHECK.replace("units=1", "other=y,units=0.25"),
+            CHECK_FACTS.replace("units=1", "other=y,units=0.25"),
             "",
         ),
     ] {
-        let answer = ask(&mut limiter.connect(), &request(verb, id, &facts, body), 1);
+        let answer = send(&mut limiter.connect(), &request(verb, id, &facts, body), 1);
         assert_eq!(answer, "$2\r\nok\r\n", "request {id}");
         transcript += &line(&with_arguments(&platform.host.next_message(), without_wait));
     }
@@ -178,16 +181,16 @@
     let mut client = limiter.connect();
     let mut transcript = String::new();
     let mut record = |id, facts: &str, calls| {
-        ask(&mut client, &request("Q.ASK", id, facts, ""), 1);
+        send(&mut client, &request("Q.ASK", id, facts, ""), 1);
         for _ in 0..calls {
             let call = platform.counter.next_message();
             transcript += &line(&with_arguments(&call, without_window_and_keep_time));
         }
     };
-    record(1, &CHECK.replace("units=1", FEW_UNITS), 1);
-    record(2, &CHECK.replace("units=1", SETTLED_UNITS), 1);
-    assert_eq!(limiter.call("PUT", "/servers/disable", TOY), 200);
-    record(3, &CHECK.replace("units=1", FEW_UNITS), 2);
+    record(1, &CHECK_FACTS.replace("units=1", FEW_UNITS), 1);
+    record(2, &CHECK_FACTS.replace("units=1", SETTLED_UNITS), 1);
+    assert_eq!(limiter.call_admin("PUT", "/servers/disable", TOY), 200);
+    record(3, &CHECK_FACTS.replace("units=1", FEW_UNITS), 2);
     transcript
 }
 
@@ -209,7 +212,11 @@
     };
     let limiter = platform.start_limiter(216, with_long_window);
     platform.wait_until_listed();
-    ask(&mut limiter.connect(), &request("Q.ASK", 1, CHECK, ""), 1);
+    send(
+        &mut limiter.connect(),
+        &request("Q.ASK", 1, CHECK_FACTS, ""),
+        1,
+    );
     (0..2)
         .map(|_| {
             let call = platform.counter.next_message();
--- a/tests/operations/admin.rs
+++ b/tests/operations/admin.rs
@@ -1,7 +1,8 @@
 //! The admin interface under stalled callers and load, and maintenance of a host.
 
-use crate::process::{ask, request, served, start, CHECK};
-use crate::{wait_until_served_again, PING, TOY};
+use crate::limiter_setup;
+use crate::{wait_until_served_again, TOY};
+use quartzcleat_test_support::commands::{request, send, served, CHECK_FACTS, PING};
 use std::io::Write;
 use std::net::TcpStream;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -10,10 +11,10 @@
 /// Callers that finish no call hold nobody up, and no bad call changes anything.
 #[test]
 fn admin_interface_answers_while_callers_stall_and_bad_requests_change_nothing() {
-    let limiter = start(20, false, |text| text);
+    let limiter = limiter_setup(20).start();
     let stalled: Vec<_> = (0..50)
         .map(|n| {
-            let mut caller = TcpStream::connect(limiter.console).expect("the console listens");
+            let mut caller = TcpStream::connect(limiter.admin).expect("the console listens");
             caller
                 .write_all(&b"PUT /drain HTTP/1.1\r\n"[..n % 20])
                 .expect("the console reads");
@@ -32,7 +33,7 @@
         ("PUT", "/servers/enable", "{\"host\":\"toy-9\"}", 404),
     ] {
         assert_eq!(
-            limiter.call(method, path, body),
+            limiter.call_admin(method, path, body),
             status,
             "{method} {path} {body}"
         );
@@ -43,9 +44,9 @@
         began.elapsed()
     );
     assert_eq!(
-        ask(
+        send(
             &mut limiter.connect(),
-            &(request("Q.ASK", 1, CHECK, "") + PING),
+            &(request("Q.ASK", 1, CHECK_FACTS, "") + PING),
             2
         ),
         served(1) + "+PONG\r\n"
@@ -56,31 +57,31 @@
 /// From the yes on nothing goes to the server, however often it is said; one call back ends it.
 #[test]
 fn host_in_maintenance_gets_nothing_until_it_is_enabled() {
-    let limiter = start(21, false, |text| text);
+    let limiter = limiter_setup(21).start();
     let mut client = limiter.connect();
     assert_eq!(
-        ask(&mut client, &request("Q.ASK", 1, CHECK, ""), 1),
+        send(&mut client, &request("Q.ASK", 1, CHECK_FACTS, ""), 1),
         served(1)
     );
     assert_eq!(
         (
-            limiter.call("PUT", "/servers/disable", TOY),
-            limiter.call("PUT", "/servers/disable", TOY)
+            limiter.call_admin("PUT", "/servers/disable", TOY),
+            limiter.call_admin("PUT", "/servers/disable", TOY)
         ),
         (200, 200)
     );
-    let answer = ask(&mut client, &request("Q.ASK", 2, CHECK, ""), 1);
+    let answer = send(&mut client, &request("Q.ASK", 2, CHECK_FACTS, ""), 1);
     assert!(answer.starts_with("-BUSY"), "{answer}");
-    assert_eq!(limiter.call("PUT", "/servers/enable", TOY), 200);
+    assert_eq!(limiter.call_admin("PUT", "/servers/enable", TOY), 200);
     wait_until_served_again(&limiter);
 }
 
 /// The console answers within its second however busy the limiter is, while fifty callers stall.
 #[test]
 fn admin_interface_answers_while_the_limiter_is_saturated() {
-    let limiter = start(28, false, |text| text);
+    let limiter = limiter_setup(28).start();
     let stalled: Vec<_> = (0..50)
-        .map(|_| TcpStream::connect(limiter.console).expect("it listens"))
+        .map(|_| TcpStream::connect(limiter.admin).expect("it listens"))
         .collect();
     let (over, address) = (AtomicBool::new(false), limiter.address);
     std::thread::scope(|scope| {
@@ -91,17 +92,17 @@
                 let mut stream = TcpStream::connect(address).expect("it listens");
                 while !over.load(Ordering::Relaxed) {
                     let bytes: String = (0..200)
-                        .map(|n| request("Q.ASK", id + n, CHECK, ""))
+                        .map(|n| request("Q.ASK", id + n, CHECK_FACTS, ""))
                         .collect();
                     id += 200;
-                    ask(&mut stream, &bytes, 200);
+                    send(&mut stream, &bytes, 200);
                 }
             });
         }
         let mut longest = Duration::ZERO;
         for _ in 0..20 {
             let began = Instant::now();
-            assert_eq!(limiter.call("GET", "/ready", ""), 200);
+            assert_eq!(limiter.call_admin("GET", "/ready", ""), 200);
             longest = longest.max(began.elapsed());
         }
         over.store(true, Ordering::Relaxed);
--- a/tests/operations/hot_restart.rs
+++ b/tests/operations/hot_restart.rs
@@ -1,7 +1,11 @@
 //! A new version beside a running one.
 
-use crate::process::{self, ask, request, served, start, CHECK};
-use crate::{open, wait_until_served_again, PING, TOY};
+use crate::limiter_setup;
+use crate::{wait_until_served_again, TOY};
+use quartzcleat_test_support::commands::{
+    call_admin, is_open, request, send, served, CHECK_FACTS, PING,
+};
+use quartzcleat_test_support::limiter::{terminate, Limiter};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -16,7 +20,7 @@
 
 /// Sends requests until `is_over`, on kept connections or on a new one each.
 fn run_client(number: u64, keeps: bool, address: SocketAddr, is_over: &AtomicBool) -> ClientReport {
-    let facts = CHECK.replace("units=1", "units=0.001");
+    let facts = CHECK_FACTS.replace("units=1", "units=0.001");
     let first_id = number << 32;
     let mut id = first_id;
     let mut kept: Option<TcpStream> = None;
@@ -25,7 +29,7 @@
         id += 1;
         let mut stream = kept
             .take()
-            .filter(open)
+            .filter(is_open)
             .unwrap_or_else(|| TcpStream::connect(address).expect("somebody listens"));
         stream
             .write_all(request("Q.ASK", id, &facts, "").as_bytes())
@@ -54,7 +58,7 @@
 /// failed.
 #[test]
 fn new_versions_take_over_without_a_request_lost() {
-    let mut limiter = start(23, false, |text| text);
+    let mut limiter = limiter_setup(23).start();
     let (is_over, address) = (AtomicBool::new(false), limiter.address);
     std::thread::scope(|scope| {
         let is_over = &is_over;
@@ -63,7 +67,7 @@
             .collect();
         for number in 0..20 {
             let mut first = limiter.upgrade(number);
-            process::send_sigterm(&first);
+            terminate(&first);
             assert!(first.wait().expect("it ends").success());
         }
         is_over.store(true, Ordering::Relaxed);
@@ -81,12 +85,12 @@
 }
 
 /// Waits until both processes are seen to refuse, since new connections come to either.
-fn wait_until_both_reject(limiter: &process::Limiter) {
-    let (began, few) = (Instant::now(), CHECK.replace("units=1", "units=0.01"));
+fn wait_until_both_reject(limiter: &Limiter) {
+    let (began, few) = (Instant::now(), CHECK_FACTS.replace("units=1", "units=0.01"));
     let mut ids = 5_000..;
     let mut in_a_row = 0;
     while in_a_row < 12 {
-        let answer = ask(
+        let answer = send(
             &mut limiter.connect(),
             &request("Q.ASK", ids.next().unwrap_or(0), &few, ""),
             1,
@@ -107,32 +111,29 @@
 /// While two processes live, a word to either holds at both; if the second dies, the first goes on as if alone.
 #[test]
 fn orders_to_either_process_hold_for_both_and_the_second_may_die() {
-    let mut limiter = start(27, false, |text| text);
-    let old_console = limiter.console;
+    let mut limiter = limiter_setup(27).start();
+    let old_console = limiter.admin;
     let mut first = limiter.upgrade(70);
-    assert_eq!(
-        process::call(old_console, "PUT", "/servers/disable", TOY),
-        200
-    );
+    assert_eq!(call_admin(old_console, "PUT", "/servers/disable", TOY), 200);
     wait_until_both_reject(&limiter);
-    assert_eq!(limiter.call("PUT", "/drain", ""), 200);
+    assert_eq!(limiter.call_admin("PUT", "/drain", ""), 200);
     let began = Instant::now();
-    while process::call(old_console, "GET", "/ready", "") != 503 {
+    while call_admin(old_console, "GET", "/ready", "") != 503 {
         assert!(
             began.elapsed() < Duration::from_secs(1),
             "the drain is not heard"
         );
     }
-    assert_eq!(process::call(old_console, "PUT", "/undrain", ""), 200);
+    assert_eq!(call_admin(old_console, "PUT", "/undrain", ""), 200);
     // The second is killed outright: what it was told stands at the first, and nothing is steered to it.
     limiter.child.kill().expect("it is killed");
     limiter.child.wait().expect("it ends");
-    limiter.console = old_console;
-    assert_eq!(limiter.call("PUT", "/servers/enable", TOY), 200);
+    limiter.admin = old_console;
+    assert_eq!(limiter.call_admin("PUT", "/servers/enable", TOY), 200);
     wait_until_served_again(&limiter);
-    process::send_sigterm(&first);
+    terminate(&first);
     // Nobody relieves it: as at any planned end it takes connections for a while.
-    assert_eq!(ask(&mut limiter.connect(), PING, 1), "+PONG\r\n");
+    assert_eq!(send(&mut limiter.connect(), PING, 1), "+PONG\r\n");
     assert!(first.wait().expect("it ends").success());
 }
 
@@ -141,36 +142,38 @@
 #[test]
 fn clients_waiting_for_a_crowded_process_are_served_as_it_ends() {
     let long = "\"onTimeNs\": 60000000000, \"hardLimitNs\": 60000000000";
-    let mut limiter = start(29, false, |text| {
-        let text = text.replace("\"sockets\": 1024", "\"sockets\": 128");
-        text.replace(
-            "\"onTimeNs\": 2000000000, \"hardLimitNs\": 7500000000",
-            long,
-        )
-    });
+    let mut limiter = limiter_setup(29)
+        .with_config(move |text| {
+            let text = text.replace("\"sockets\": 1024", "\"sockets\": 128");
+            text.replace(
+                "\"onTimeNs\": 2000000000, \"hardLimitNs\": 7500000000",
+                long,
+            )
+        })
+        .start();
     let facts = "c=bed-check,t=operator,d=50000,units=0.1,spread=1,first=0";
     let busy: Vec<_> = (100..140)
         .map(|id| {
             let mut client = limiter.connect();
             let both = PING.to_owned() + &request("Q.ASK", id, facts, "silent");
-            assert_eq!(ask(&mut client, &both, 1), "+PONG\r\n");
+            assert_eq!(send(&mut client, &both, 1), "+PONG\r\n");
             client
         })
         .collect();
-    let old_console = limiter.console;
+    let old_console = limiter.admin;
     let first = limiter.upgrade(71);
     // By the time that an order has come over, the first knows of the second, and keeps to its half.
     for (word, status) in [("/drain", 503), ("/undrain", 200)] {
-        assert_eq!(limiter.call("PUT", word, ""), 200);
-        while process::call(old_console, "GET", "/ready", "") != status {}
+        assert_eq!(limiter.call_admin("PUT", word, ""), 200);
+        while call_admin(old_console, "GET", "/ready", "") != status {}
     }
     std::thread::scope(|scope| {
         let began = Instant::now();
         let waiting: Vec<_> = (0..20)
-            .map(|_| scope.spawn(|| ask(&mut limiter.connect(), PING, 1)))
+            .map(|_| scope.spawn(|| send(&mut limiter.connect(), PING, 1)))
             .collect();
         // The second has served some by now; the others wait in the queue of the first.
-        process::send_sigterm(&first);
+        terminate(&first);
         for client in waiting {
             assert_eq!(client.join().expect("it is heard"), "+PONG\r\n");
         }
@@ -189,24 +192,28 @@
 /// Maintenance ordered of the old process holds at the new one, and the order to enable given to the new one ends it.
 #[test]
 fn orders_of_staff_hold_over_a_new_version() {
-    let mut limiter = start(24, false, |text| text);
-    assert_eq!(limiter.call("PUT", "/servers/disable", TOY), 200);
+    let mut limiter = limiter_setup(24).start();
+    assert_eq!(limiter.call_admin("PUT", "/servers/disable", TOY), 200);
     let mut first = limiter.upgrade(60);
     first.kill().expect("it is killed");
     first.wait().expect("it ends");
     let mut client = limiter.connect();
-    let answer = ask(&mut client, &request("Q.ASK", 1, CHECK, ""), 1);
+    let answer = send(&mut client, &request("Q.ASK", 1, CHECK_FACTS, ""), 1);
     assert!(answer.starts_with("-BUSY"), "{answer}");
-    assert_eq!(limiter.call("PUT", "/servers/enable", TOY), 200);
+    assert_eq!(limiter.call_admin("PUT", "/servers/enable", TOY), 200);
     wait_until_served_again(&limiter);
 }
 
 /// A version that starts while discovery is silent has the list that the first one holds, and serves by it.
 #[test]
 fn new_version_serves_by_the_handed_over_list() {
-    let mut limiter = start(39, false, |text| text);
+    let mut limiter = limiter_setup(39).start();
     assert_eq!(
-        ask(&mut limiter.connect(), &request("Q.ASK", 1, CHECK, ""), 1),
+        send(
+            &mut limiter.connect(),
+            &request("Q.ASK", 1, CHECK_FACTS, ""),
+            1
+        ),
         served(1)
     );
     let silent = std::net::TcpListener::bind("127.0.0.1:0").expect("an address");
@@ -215,7 +222,11 @@
     first.kill().expect("it is killed");
     first.wait().expect("it ends");
     assert_eq!(
-        ask(&mut limiter.connect(), &request("Q.ASK", 2, CHECK, ""), 1),
+        send(
+            &mut limiter.connect(),
+            &request("Q.ASK", 2, CHECK_FACTS, ""),
+            1
+        ),
         served(2)
     );
     let left = std::fs::read_dir(&limiter.folder)
--- a/tests/operations/main.rs
+++ b/tests/operations/main.rs
@@ -1,36 +1,27 @@
 //! What on-call staff order of a running limiter: maintenance, draining, a new version; and long values.
 
-#[path = "../process/mod.rs"]
-mod process;
-#[path = "../toy/mod.rs"]
-mod toy;
-
 mod admin;
 mod draining;
 mod hot_restart;
 mod long_values;
 
-use process::{ask, request, CHECK};
-use std::net::TcpStream;
+use quartzcleat_test_support::commands::{request, send, CHECK_FACTS};
+use quartzcleat_test_support::limiter::{Limiter, LimiterSetup};
 use std::time::{Duration, Instant};
 
-const PING: &str = "*1\r\n$4\r\nPING\r\n";
-const TOY: &str = "{\"host\":\"toy-0\"}";
-
-/// Whether the other end has not closed a connection, as a client looks before it uses one again.
-fn open(stream: &TcpStream) -> bool {
-    stream.set_nonblocking(true).expect("it is set");
-    let seen = stream.peek(&mut [0]);
-    stream.set_nonblocking(false).expect("it is set");
-    seen.is_err()
+/// A limiter of this build.
+fn limiter_setup(number: u8) -> LimiterSetup {
+    LimiterSetup::new(env!("CARGO_BIN_EXE_quartzcleat"), number)
 }
 
+const TOY: &str = "{\"host\":\"toy-0\"}";
+
 /// A server that is back counts as cold, so not every request is given to it; the first ones soon are.
-fn wait_until_served_again(limiter: &process::Limiter) {
+fn wait_until_served_again(limiter: &Limiter) {
     let began = Instant::now();
-    let few = CHECK.replace("units=1", "units=0.01");
+    let few = CHECK_FACTS.replace("units=1", "units=0.01");
     let mut ids = 100..;
-    while !ask(
+    while !send(
         &mut limiter.connect(),
         &request("Q.ASK", ids.next().unwrap_or(0), &few, ""),
         1,
--- a/tests/side_by_side.rs
+++ b/tests/side_by_side.rs
@@ -2,16 +2,19 @@
 //!
 //! `QUARTZCLEAT_OLDER=path cargo test --test side_by_side -- --ignored` runs it.
 
-mod process;
-mod toy;
-
-use process::{ask, request, send_sigterm, start, Limiter, CHECK};
+use quartzcleat_test_support::commands::{is_open, request, send, CHECK_FACTS};
+use quartzcleat_test_support::limiter::{terminate, Limiter, LimiterSetup};
 use std::net::{SocketAddr, TcpStream};
 use std::path::Path;
 use std::process::Child;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
+/// A limiter of this build.
+fn limiter_setup(number: u8) -> LimiterSetup {
+    LimiterSetup::new(env!("CARGO_BIN_EXE_quartzcleat"), number)
+}
+
 const CLIENTS: u64 = 8;
 const LONGEST_WAIT: Duration = Duration::from_secs(20);
 /// Requests that must be served between two steps, so that there is load.
@@ -19,7 +22,7 @@
 const HOST: &str = r#"{"host":"toy-0"}"#;
 
 fn end(mut process: Child) {
-    send_sigterm(&process);
+    terminate(&process);
     assert!(process.wait().expect("it ends").success());
 }
 
@@ -43,14 +46,6 @@
     }
 }
 
-/// Whether the other end has not closed a connection, as a client looks before it uses one again.
-fn is_open(stream: &TcpStream) -> bool {
-    stream.set_nonblocking(true).expect("it is set");
-    let seen = stream.peek(&mut [0]);
-    stream.set_nonblocking(false).expect("it is set");
-    seen.is_err()
-}
-
 /// What all clients got.
 #[derive(Default)]
 struct Answers {
@@ -68,7 +63,7 @@
 
 /// Sends requests one after another; each must have one sound answer.
 fn run_client(client: u64, address: SocketAddr, stop: &AtomicBool, answers: &Answers) {
-    let few = CHECK.replace("units=1", "units=0.01");
+    let few = CHECK_FACTS.replace("units=1", "units=0.01");
     let mut ids = client << 32..;
     let connect = || TcpStream::connect(address).expect("a process listens");
     let mut stream = connect();
@@ -79,7 +74,7 @@
         let timeout = stream.set_read_timeout(Some(LONGEST_WAIT));
         timeout.expect("a time-out is set");
         let id = ids.next().unwrap_or_default();
-        let answer = ask(&mut stream, &request("Q.ASK", id, &few, ""), 1);
+        let answer = send(&mut stream, &request("Q.ASK", id, &few, ""), 1);
         let is_served = answer == format!("$16\r\n{id:016x}\r\n");
         assert!(
             is_served || answer.starts_with("-BUSY"),
@@ -93,12 +88,12 @@
 
 /// Hands over while the host is in maintenance, which the later process must know from the earlier one.
 fn hand_over_maintenance(limiter: &mut Limiter, program: &str, number: u8) {
-    assert_eq!(limiter.call("PUT", "/servers/disable", HOST), 200);
+    assert_eq!(limiter.call_admin("PUT", "/servers/disable", HOST), 200);
     let earlier = limiter.upgrade_to(Path::new(program), number + 2);
     end(earlier);
     let mut stream = TcpStream::connect(limiter.address).expect("a process listens");
     let id = (100 + u64::from(number)) << 32;
-    let answer = ask(&mut stream, &request("Q.ASK", id, CHECK, ""), 1);
+    let answer = send(&mut stream, &request("Q.ASK", id, CHECK_FACTS, ""), 1);
     assert!(
         answer.starts_with("-BUSY"),
         "maintenance is not handed over: {answer:?}"
@@ -110,7 +105,7 @@
 fn builds_hand_over_to_each_other_without_a_request_lost() {
     let older =
         std::env::var("QUARTZCLEAT_OLDER").expect("QUARTZCLEAT_OLDER names the older build");
-    let mut limiter = start(210, false, |text| text);
+    let mut limiter = limiter_setup(210).start();
     let address = limiter.address;
     let stop = AtomicBool::new(false);
     let answers = Answers::default();
@@ -129,7 +124,7 @@
         }
         for (number, program) in builds {
             hand_over_maintenance(&mut limiter, program, number);
-            assert_eq!(limiter.call("PUT", "/servers/enable", HOST), 200);
+            assert_eq!(limiter.call_admin("PUT", "/servers/enable", HOST), 200);
             answers.wait_for_more();
         }
     });
