--- a/src/logging.rs
+++ b/src/logging.rs
@@ -1,5 +1,5 @@
 //! Logging with `tracing`: lines for people or JSON to standard error, filtered by level and target. Each call site is
-//! rate-limited, so that a fault that repeats does not fill what the platform keeps of standard error.
+//! rate-limited, so that a repeated fault does not fill the part of standard error that the platform keeps.
 
 use crate::net::metrics;
 use quartzcleat_config::product::{LogConfig, LogFormat};
@@ -34,12 +34,12 @@
     Begin(#[from] TryInitError),
 }
 
-/// What one call site has logged in its current window.
+/// The lines of one call site in its current window.
 #[derive(Default)]
 struct CallSite {
     /// The start of the window, in milliseconds since the limiter's start.
     window_start_ms: AtomicU64,
-    /// Lines since then, with those that were suppressed.
+    /// Lines since then, suppressed ones included.
     lines: AtomicU64,
     /// Lines suppressed in the window before, to be reported with the next line.
     suppressed: AtomicU64,
@@ -74,7 +74,7 @@
     }
 
     /// Whether a call site may write one more line now.
-    fn allows(&self, call_site: &CallSite, now_ms: u64) -> bool {
+    fn is_allowed(&self, call_site: &CallSite, now_ms: u64) -> bool {
         let window_end_ms = call_site.window_start_ms.load(Relaxed) + self.window_ms;
         if now_ms < window_end_ms && call_site.lines.load(Relaxed) > 0 {
             return call_site.lines.fetch_add(1, Relaxed) < self.burst;
@@ -102,7 +102,7 @@
         }
         let call_site = self.0.call_site(event.metadata());
         let now_ms = self.0.start.elapsed().as_millis() as u64;
-        self.0.allows(call_site, now_ms)
+        self.0.is_allowed(call_site, now_ms)
     }
 }
 
--- a/src/net/engine/open_requests.rs
+++ b/src/net/engine/open_requests.rs
@@ -8,6 +8,7 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 use std::time::Duration;
+use thiserror::Error;
 use tokio::time::Instant;
 
 /// One attempt of one request.
@@ -32,7 +33,15 @@
     pub begins_within: Nanos,
 }
 
-/// Where the answer to a request goes.
+/// An attempt must not be made.
+#[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
+#[error("attempt {attempt} must not be made")]
+pub struct AttemptNotAllowed {
+    /// The attempt's number, from zero.
+    pub attempt: u32,
+}
+
+/// The recipient of the answer to a request.
 pub struct ReplyTo {
     /// The frontend.
     pub frontend: Rc<dyn Frontend>,
@@ -105,7 +114,7 @@
         self.requests.contains_key(&id)
     }
 
-    /// The count of buffered bytes, to which frontends add what their clients have not read.
+    /// The count of buffered bytes, to which frontends add the answers that their clients have not read.
     pub fn buffered_bytes(&self) -> Rc<Cell<usize>> {
         self.buffered_bytes.clone()
     }
@@ -130,10 +139,10 @@
         deadline
     }
 
-    /// Closes a request; returns where its answer goes, if it was open.
+    /// Closes a request; returns the recipient of its answer, if it was open.
     ///
     /// An attempt that is not written yet is cancelled: its connection may come up late or its host be slow to read,
-    /// and nothing may begin for a request that nobody waits for.
+    /// and no attempt may begin for a request that is closed.
     pub fn close(&mut self, id: RequestId) -> Option<ReplyTo> {
         let open = self.requests.remove(&id)?;
         for attempt in 0..open.attempts {
@@ -165,16 +174,19 @@
     /// Begins an attempt of a request.
     ///
     /// # Errors
-    /// The attempt must not be made, since the request is closed, past its deadline, or had all its attempts. The
-    /// error is the attempt's number.
-    pub fn begin_attempt(&mut self, order: AttemptOrder, now: Instant) -> Result<HostCall, u32> {
+    /// The attempt must not be made, since the request is closed, past its deadline, or had all its attempts.
+    pub fn begin_attempt(
+        &mut self,
+        order: AttemptOrder,
+        now: Instant,
+    ) -> Result<HostCall, AttemptNotAllowed> {
         let Some(open) = self.requests.get_mut(&order.id) else {
-            return Err(0);
+            return Err(AttemptNotAllowed { attempt: 0 });
         };
         let attempt = open.attempts;
         open.attempts += 1;
         if attempt >= self.max_attempts || now >= open.deadline {
-            return Err(attempt);
+            return Err(AttemptNotAllowed { attempt });
         }
         let deadline = match order.timeout {
             0 => open.deadline,
--- a/src/net/resp/upstream/pool.rs
+++ b/src/net/resp/upstream/pool.rs
@@ -3,6 +3,8 @@
 use crate::api::{HostEntry, HostId, HostState, ReportSource};
 use crate::net::config::Limits;
 use crate::net::engine::HostCall;
+use crate::net::metrics::SharedMetrics;
+use crate::net::resp::eviction::Eviction;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -57,8 +59,8 @@
         }
     }
 
-    /// Whether what was decided before the host stopped being ready may no longer be sent there.
-    fn drain_grace_is_over(&self, limits: &Limits) -> bool {
+    /// Whether calls that were decided before the host stopped being ready may no longer be sent there.
+    fn is_drain_grace_over(&self, limits: &Limits) -> bool {
         self.unready_since
             .is_some_and(|since| since.elapsed() >= limits.upstream.drain_grace.get())
     }
@@ -93,17 +95,19 @@
     connections_by_host: RefCell<BTreeMap<HostId, Rc<Cell<usize>>>>,
     next_serial: Cell<u64>,
     report_source: Cell<ReportSource>,
+    metrics: Option<SharedMetrics>,
 }
 
 impl UpstreamPool {
-    /// A pool without hosts. `report_source` is where hosts report their load.
-    pub fn new(report_source: ReportSource) -> Self {
+    /// A pool without hosts. `report_source` is where hosts report their load; `metrics` count the connections.
+    pub fn new(report_source: ReportSource, metrics: Option<SharedMetrics>) -> Self {
         UpstreamPool {
             hosts: RefCell::default(),
             connections: Rc::default(),
             connections_by_host: RefCell::default(),
             next_serial: Cell::default(),
             report_source: Cell::new(report_source),
+            metrics,
         }
     }
 
@@ -140,7 +144,7 @@
     pub fn forget_gone_hosts(&self, limits: &Limits) {
         self.hosts
             .borrow_mut()
-            .retain(|_, host| !(host.is_gone && host.drain_grace_is_over(limits)));
+            .retain(|_, host| !(host.is_gone && host.is_drain_grace_over(limits)));
         let hosts = self.hosts.borrow();
         self.connections_by_host
             .borrow_mut()
@@ -157,18 +161,18 @@
         }
     }
 
-    /// Where a host listens; `None` once nothing may be sent there any more. A call may have been decided before the host
-    /// began to drain, and its connection come up long after.
+    /// Where a host listens; `None` once nothing may be sent there any more. A call may have been decided before the
+    /// host began to drain, and its connection be established long after.
     pub fn address(&self, id: HostId, limits: &Limits) -> Option<SocketAddr> {
         let hosts = self.hosts.borrow();
         let host = hosts.get(&id)?;
-        (!host.drain_grace_is_over(limits)).then_some(host.address)
+        (!host.is_drain_grace_over(limits)).then_some(host.address)
     }
 
     /// Hands a call to the host's idle connection that was used last.
     ///
-    /// For a moment after an answer a connection takes no call: what still follows the answer, a copy of it above all,
-    /// would be taken for the answer to that call.
+    /// For a moment after an answer a connection takes no call: bytes that still follow the answer, a copy of it above
+    /// all, would be taken for the answer to that call.
     ///
     /// # Errors
     /// No idle connection leads to the host; the call is given back.
@@ -219,11 +223,14 @@
         }
     }
 
-    /// Permits one more connection. At the limit the connection that has been idle longest is closed for it; `None` where
-    /// none is idle.
+    /// Permits one more connection. At the limit the connection that has been idle longest is closed for it; `None`
+    /// where none is idle.
     pub fn acquire_permit(&self, id: HostId, limits: &Limits) -> Option<ConnectionPermit> {
         if self.connections.get() >= limits.upstream_connection_share() {
-            self.close_longest_idle()?;
+            match self.close_longest_idle() {
+                Eviction::Evicted => {}
+                Eviction::NoneIdle => return None,
+            }
         }
         let by_host = self
             .connections_by_host
@@ -234,17 +241,31 @@
         Some(ConnectionPermit::new([self.connections.clone(), by_host]))
     }
 
-    fn close_longest_idle(&self) -> Option<()> {
+    /// Counts a connection that was established.
+    pub fn record_connect(&self, id: HostId) {
+        if let Some(metrics) = &self.metrics {
+            metrics.borrow_mut().record_connect(id);
+        }
+    }
+
+    /// Counts a connection that could not be established.
+    pub fn record_connect_failure(&self, id: HostId) {
+        if let Some(metrics) = &self.metrics {
+            metrics.borrow_mut().record_connect_failure(id);
+        }
+    }
+
+    fn close_longest_idle(&self) -> Eviction {
         let mut hosts = self.hosts.borrow_mut();
-        let longest_idle =
-            |host: &&mut Host| host.idle.first().map_or(u64::MAX, |idle| idle.serial);
-        let host = hosts.values_mut().min_by_key(longest_idle)?;
-        if host.idle.is_empty() {
-            return None;
+        let hosts_with_idle = hosts.values_mut().filter(|host| !host.idle.is_empty());
+        match hosts_with_idle.min_by_key(|host| host.idle[0].serial) {
+            Some(host) => {
+                // The connection's task ends as the sender of its next call is dropped.
+                host.idle.remove(0);
+                Eviction::Evicted
+            }
+            None => Eviction::NoneIdle,
         }
-        // Its task ends as the sender of its next call is dropped.
-        drop(host.idle.remove(0));
-        Some(())
     }
 
     /// How many connections are up or being opened, by host.
--- a/src/net/shutdown.rs
+++ b/src/net/shutdown.rs
@@ -1,18 +1,18 @@
 //! Draining by an operator and the shutdown at SIGTERM.
 //!
-//! The drain controller decides how far both have come; here its phases are announced to those who wait for them. During a
-//! shutdown all goes on while the load balancer in front still sends clients, then connections close between requests,
-//! and the process ends once all accepted requests are answered.
+//! The drain controller decides on the phase; this unit announces the phases to the tasks that wait for them. During a
+//! shutdown clients are served as before while the load balancer in front still sends new ones. Then connections close
+//! between requests, and the process ends once all accepted requests are answered.
 
 use super::config::Limits;
-use super::start_error::StartError;
+use super::signals::{self, SignalError};
 use super::task::spawn;
+use super::unix_time;
 use crate::api::Nanos;
-use quartzcleat_admin::{DrainController, DrainOrder, DrainTimes};
+use quartzcleat_admin::{DrainController, DrainOrder, DrainTimes, Successor};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
-use std::time::{Duration, SystemTime};
-use tokio::signal::unix::{signal, SignalKind};
+use std::time::Duration;
 use tokio::sync::{watch, Notify};
 use tokio::time::{timeout, Instant};
 
@@ -21,10 +21,10 @@
 
 pub use quartzcleat_admin::Phase;
 
-/// How long after a phase is due the step to it is taken.
+/// How long after the start of a phase the step to it is taken.
 const STEP_MARGIN: Duration = Duration::from_millis(1);
 
-/// The drain controller, its phase for those who wait for a change, and the number of client connections.
+/// The drain controller, its phase for the tasks that wait for a change, and the number of client connections.
 pub struct Shutdown {
     controller: RefCell<DrainController>,
     /// Notified of each order.
@@ -37,13 +37,6 @@
     connections: watch::Sender<usize>,
 }
 
-/// Unix time by the system's clock, in nanoseconds, which two processes on one machine share.
-pub fn unix() -> Nanos {
-    SystemTime::UNIX_EPOCH
-        .elapsed()
-        .map_or(0, |age| age.as_nanos() as Nanos)
-}
-
 impl Shutdown {
     /// A process that serves all clients.
     pub fn new(limits: &Limits) -> Self {
@@ -81,29 +74,29 @@
         *self.is_closing.borrow()
     }
 
-    /// Whether the load balancer in front is told to send clients.
+    /// Whether the load balancer in front may send clients.
     pub fn accepts_clients(&self) -> bool {
         self.controller.borrow().accepts_clients()
     }
 
-    /// Whether another process accepts the clients, now that this one shuts down.
-    pub fn other_serves(&self) -> bool {
-        self.controller.borrow().other_serves()
+    /// Whether a successor accepts the clients, now that this process shuts down.
+    pub fn has_serving_successor(&self) -> bool {
+        self.controller.borrow().has_serving_successor()
     }
 
-    /// The latest order of staff on draining.
+    /// The latest operator command on draining.
     pub fn drain_order(&self) -> DrainOrder {
         self.controller.borrow().order()
     }
 
     /// Drains the clients, by an operator.
     pub fn drain(&self) {
-        self.update(|controller| controller.drain(unix()));
+        self.update(|controller| controller.drain(unix_time::now()));
     }
 
     /// Stops draining, by an operator.
     pub fn undrain(&self) {
-        self.update(|controller| controller.undrain(unix()));
+        self.update(|controller| controller.undrain(unix_time::now()));
     }
 
     /// Takes in another process's order on draining.
@@ -121,7 +114,7 @@
 
     /// Announces the phase of this moment; returns how long it is until the next one begins.
     fn announce_phase(&self) -> Option<Duration> {
-        let now = unix();
+        let now = unix_time::now();
         let (status, is_shutting_down) = {
             let controller = self.controller.borrow();
             (controller.status(now), controller.is_shutting_down())
@@ -133,12 +126,12 @@
         Some(Duration::from_nanos(next_at.saturating_sub(now)))
     }
 
-    /// Goes through the phases for good.
+    /// Goes through the phases until the process ends.
     async fn follow_phases(self: Rc<Self>) {
         loop {
             match self.announce_phase() {
                 None => self.order_changed.notified().await,
-                // A step that comes before the phase is due would find nothing changed.
+                // A step before the start of the phase would find nothing changed.
                 Some(remaining) => {
                     let pause = remaining + STEP_MARGIN;
                     // Whether the time is over or there is an order, the next round looks at both.
@@ -192,27 +185,25 @@
     });
 }
 
-/// Goes through the phases, and waits for SIGTERM. `other_serves` tells then whether another process of this limiter
+/// Goes through the phases, and waits for SIGTERM. `find_successor` then looks for another process of this limiter that
 /// accepts the clients.
 ///
 /// # Errors
 /// The signal handler cannot be installed.
 pub fn watch(
     shutdown: &Rc<Shutdown>,
-    other_serves: impl FnOnce() -> bool + 'static,
-) -> Result<(), StartError> {
-    let mut terminate = signal(SignalKind::terminate()).map_err(|source| StartError::Signal {
-        signal: "SIGTERM",
-        source,
-    })?;
+    find_successor: impl FnOnce() -> Successor + 'static,
+) -> Result<(), SignalError> {
+    let mut terminate = signals::on_terminate()?;
     spawn(shutdown.clone().follow_phases());
     let shutdown = shutdown.clone();
     spawn(async move {
         terminate.recv().await;
         shutdown.asked_at.set(Some(Instant::now()));
-        let other_serves = other_serves();
+        let successor = find_successor();
+        let other_serves = successor == Successor::Serving;
         tracing::info!(other_serves, "shutdown started");
-        shutdown.update(|controller| controller.shut_down(unix(), other_serves));
+        shutdown.update(|controller| controller.shut_down(unix_time::now(), successor));
     });
     Ok(())
 }
--- a/tests/rules/robustness.rs
+++ b/tests/rules/robustness.rs
@@ -233,7 +233,8 @@
         harness.now += SECOND;
         harness.fire(Timer::Sweep);
     }
-    let held = format!("{:?}", harness.engine);
-    assert!(held.matches("last_seen").count() <= 10, "{held}");
-    assert_eq!(held.matches("evidence").count(), 4);
+    let records = harness.engine.snapshot();
+    let customer_count = records.customers.len();
+    assert!(customer_count <= 10, "{customer_count} customers");
+    assert_eq!(records.hosts.len(), 4);
 }
--- a/tests/rules/succession.rs
+++ b/tests/rules/succession.rs
@@ -2,7 +2,7 @@
 
 use quartzcleat::api::{Event, HostEntry, HostId, ListMode, Nanos, Settings};
 use quartzcleat::choice::{
-    AdmissionSnapshot, CounterCallsSnapshot, EngineSnapshot, SlownessSnapshot, TimedUnits,
+    AdmissionSnapshot, CounterCallsSnapshot, EngineSnapshot, LatencyScoreSnapshot, TimedUnits,
 };
 use quartzcleat_test_support::engine::{EndedAttempt, EngineHarness};
 use quartzcleat_test_support::settings::{
@@ -54,23 +54,23 @@
     harness
 }
 
-fn slowness(harness: &EngineHarness, host: HostId) -> f64 {
+fn latency_score(harness: &EngineHarness, host: HostId) -> f64 {
     let hosts = harness.engine.snapshot().hosts;
-    hosts[host.0 as usize - 1].slowness.value
+    hosts[host.0 as usize - 1].latency.score
 }
 
 #[test]
-fn successor_continues_from_measured_slowness() {
+fn successor_continues_from_measured_latency() {
     let first = predecessor();
-    assert!(slowness(&first, SLOW) > 2.0);
+    assert!(latency_score(&first, SLOW) > 2.0);
     let second = successor(&first.engine.snapshot(), 0);
-    assert_eq!(slowness(&second, SLOW), slowness(&first, SLOW));
+    assert_eq!(latency_score(&second, SLOW), latency_score(&first, SLOW));
 }
 
 #[test]
 fn successor_does_not_apply_measurements_to_a_new_process() {
     let second = successor(&predecessor().engine.snapshot(), 0);
-    assert_eq!(slowness(&second, RESTARTED), 1.0);
+    assert_eq!(latency_score(&second, RESTARTED), 1.0);
 }
 
 #[test]
@@ -109,17 +109,17 @@
         },
         admission: AdmissionSnapshot {
             ratio: 9.0,
-            mean_lateness: f64::INFINITY,
+            mean_objective_ratio: f64::INFINITY,
             measured_at: u64::MAX,
-            success_lateness: -1.0,
+            success_objective_ratio: -1.0,
         },
         concurrency_limit: f64::NAN,
         ..predecessor().engine.snapshot()
     };
     for host in &mut snapshot.hosts {
-        host.slowness = SlownessSnapshot {
-            value: -5.0,
-            evidence: 1e300,
+        host.latency = LatencyScoreSnapshot {
+            score: -5.0,
+            sample_weight: 1e300,
             measured_at: u64::MAX,
         };
         host.concurrency_limit = 0.0;
