--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -3,10 +3,12 @@
 //! For the decision engine: [`engine`] drives one by hand, [`settings`] are the small settings that such tests start from,
 //! and [`actions`] answers what an engine ordered.
 //!
-//! For the program: [`limiter`] starts a process beside a [`toy_platform`], and [`commands`] are what a client sends it.
+//! For the program: [`limiter`] starts a process beside a [`toy_platform`], with a configuration that [`config`]
+//! changes, and [`commands`] are what a client sends it.
 
 pub mod actions;
 pub mod commands;
+pub mod config;
 pub mod engine;
 pub mod limiter;
 pub mod settings;
--- a/crates/test-support/src/limiter.rs
+++ b/crates/test-support/src/limiter.rs
@@ -1,6 +1,7 @@
 //! A limiter's process beside a toy platform.
 
-use crate::commands::{call_admin, send, ANSWER_TIMEOUT, PING};
+use crate::commands::{call_admin, request, send, ANSWER_TIMEOUT, PING};
+use crate::config::LONG_FACTS;
 use crate::toy_platform::{self, ToyPlatform};
 use quartzcleat_fakes::process::{limiter_command, send_signal, Signal};
 use std::io;
@@ -264,6 +265,18 @@
         }
     }
 
+    /// Connects, and sends a request that no host answers; by the return of this function the limiter has read it.
+    ///
+    /// # Panics
+    /// Panics where the limiter does not serve the connection.
+    #[must_use]
+    pub fn connect_with_pending_request(&self, id: u64) -> TcpStream {
+        let mut client = self.connect();
+        let commands = PING.to_owned() + &request("Q.ASK", id, LONG_FACTS, "silent");
+        assert_eq!(send(&mut client, &commands, 1), "+PONG\r\n");
+        client
+    }
+
     /// Sends its process a signal.
     ///
     /// # Panics
