--- a/src/net/limiter.rs
+++ b/src/net/limiter.rs
@@ -5,6 +5,7 @@
 use super::counter::{self, CounterClient};
 use super::discovery::{self, Backoff, DiscoveryClient, EndpointList};
 use super::engine::EngineDriver;
+use super::hot_restart::listener_handover::redirect_to_second;
 use super::hot_restart::{HandoffStatus, HotRestart, LocalProcess};
 use super::leases;
 use super::metrics_log::MetricsLog;
@@ -139,7 +140,7 @@
         }
         let context = self.pipeline.frontend_context();
         let downstream = Rc::new(Downstream::new(context, self.reloader.catalog()));
-        downstream::accept(&downstream, listener).await;
+        downstream::accept(&downstream, listener, redirect_to_second).await;
         self.finish().await;
         Ok(())
     }
--- a/src/net/resp/downstream/listener.rs
+++ b/src/net/resp/downstream/listener.rs
@@ -3,7 +3,6 @@
 use super::closing::Admission;
 use super::connection::serve;
 use super::Downstream;
-use crate::net::hot_restart::listener_handover;
 use crate::net::resp::eviction::Eviction;
 use crate::net::task::spawn;
 use std::rc::Rc;
@@ -14,10 +13,19 @@
 /// The part of the limit on connections by which it may be exceeded, before the process waits for others to close.
 const EXCESS_DIVISOR: usize = 16;
 
-/// Accepts connections until the process shuts down.
-pub async fn accept(downstream: &Rc<Downstream>, listener: TcpListener) {
+/// Gives all further connections of a listener to the other process that listens at its address.
+pub type RedirectListener = fn(&TcpListener) -> nix::Result<()>;
+
+/// Accepts connections until the process shuts down. Further connections are then redirected to the other process of this
+/// limiter, if it serves.
+pub async fn accept(
+    downstream: &Rc<Downstream>,
+    listener: TcpListener,
+    redirect_listener: RedirectListener,
+) {
     let mut acceptor = Acceptor {
         downstream,
+        redirect_listener,
         closing: downstream.context.shutdown.subscribe_closing(),
         accepts_until: None,
     };
@@ -35,8 +43,9 @@
 
 struct Acceptor<'a> {
     downstream: &'a Rc<Downstream>,
+    redirect_listener: RedirectListener,
     closing: watch::Receiver<bool>,
-    /// Once the process shuts down: until when the connections that are on their way are accepted.
+    /// Once the process shuts down: until when connections are accepted that were sent before.
     accepts_until: Option<Instant>,
 }
 
@@ -60,11 +69,11 @@
         }
     }
 
-    /// Further connections go to the other process of this limiter, if it serves.
+    /// Redirects further connections to the other process of this limiter, if it serves.
     fn start_closing(&mut self, listener: &TcpListener) {
         let context = &self.downstream.context;
         if context.shutdown.has_serving_successor() {
-            if let Err(error) = listener_handover::redirect_to_second(listener) {
+            if let Err(error) = (self.redirect_listener)(listener) {
                 tracing::info!(%error, "client connections still come to either process");
             }
         }
--- a/src/net/resp/downstream/mod.rs
+++ b/src/net/resp/downstream/mod.rs
@@ -16,7 +16,7 @@
 #[cfg(test)]
 mod tests;
 
-pub use listener::accept;
+pub use listener::{accept, RedirectListener};
 pub use request_catalog::RequestCatalog;
 
 use self::idle_connections::IdleConnections;
