--- a/src/net/admin/mod.rs
+++ b/src/net/admin/mod.rs
@@ -146,9 +146,7 @@
     let (AdminRequest::Disable(name) | AdminRequest::Enable(name)) = request else {
         return;
     };
-    let is_decided = || {
-        context.discovery.maintenance().borrow().contains(name) || context.discovery.has_answered()
-    };
+    let is_decided = || context.discovery.has_listed(name) || context.discovery.has_answered();
     let wait = async {
         while !is_decided() {
             sleep(context.limits.requests.deadline_margin).await;
@@ -190,13 +188,7 @@
 }
 
 fn disable(context: &AdminContext, name: &str) -> Response {
-    let now = unix_time::now();
-    let disabled = context
-        .discovery
-        .maintenance()
-        .borrow_mut()
-        .disable(name, now);
-    match disabled {
+    match context.discovery.disable(name, unix_time::now()) {
         Err(UnknownHost) => return unknown_host(context),
         Ok(MaintenanceChange::Unchanged) => {}
         Ok(MaintenanceChange::Changed) => {
@@ -208,13 +200,7 @@
 }
 
 fn enable(context: &AdminContext, name: &str) -> Response {
-    let now = unix_time::now();
-    let enabled = context
-        .discovery
-        .maintenance()
-        .borrow_mut()
-        .enable(name, now);
-    match enabled {
+    match context.discovery.enable(name, unix_time::now()) {
         Err(UnknownHost) => return unknown_host(context),
         Ok(MaintenanceChange::Unchanged) => {}
         Ok(MaintenanceChange::Changed) => {
--- a/src/net/counter/link.rs
+++ b/src/net/counter/link.rs
@@ -179,8 +179,8 @@
             return ControlFlow::Break(ConnectionEnd::Failed);
         }
         let state = self.connection_state(connection, liveness);
-        if self.is_outlasted(state) {
-            return self.check_outlasted(connection, liveness);
+        if self.is_other_connection_answered(state) {
+            return self.read_or_give_up(connection, liveness);
         }
         match self.wait(connection, state.deadline()).await {
             Wakeup::Received => self.handle_received(connection, liveness),
@@ -248,7 +248,7 @@
     }
 
     /// Whether another connection was answered while this one was silent.
-    fn is_outlasted(&self, state: ConnectionState) -> bool {
+    fn is_other_connection_answered(&self, state: ConnectionState) -> bool {
         match state {
             ConnectionState::Suspect {
                 others_answered_since,
@@ -262,8 +262,8 @@
         }
     }
 
-    /// Gives a connection up that others have outlasted, unless its own answers lie there unread.
-    fn check_outlasted(
+    /// Reads the answers that lie unread on a suspect connection, or gives it up where there are none.
+    fn read_or_give_up(
         &self,
         connection: &mut CounterConnection,
         liveness: &mut Liveness,
--- a/src/net/discovery/client.rs
+++ b/src/net/discovery/client.rs
@@ -1,19 +1,23 @@
 //! The state of the discovery client: the endpoint list in force, and the hosts in maintenance.
 
-use super::endpoint_list::{EndpointList, ListSource};
+use super::endpoint_list::{EndpointList, ListSource, ListVerdict};
 use super::received_list::{Endpoint, ListError, ReceivedList};
-use crate::api::{Event, ListMode};
+use crate::api::{Event, ListMode, Nanos, ZoneId};
 use crate::net::config::{Addresses, Limits};
 use crate::net::engine::EngineDriver;
 use crate::net::metrics::SharedMetrics;
 use crate::net::resp::upstream::UpstreamPool;
-use quartzcleat_admin::MaintenanceRegistry;
+use quartzcleat_admin::{MaintenanceChange, MaintenanceOrder, MaintenanceRegistry, UnknownHost};
 use serde_json::Value;
 use std::cell::RefCell;
+use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::sync::{watch, Notify};
 
+#[cfg(test)]
+mod tests;
+
 /// Owns the endpoint list and the hosts in maintenance.
 pub struct DiscoveryClient {
     limits: Rc<Limits>,
@@ -96,14 +100,97 @@
         self.reopen_watch.notified().await;
     }
 
-    /// The endpoint list in force.
-    pub fn endpoints(&self) -> &RefCell<EndpointList> {
-        &self.endpoints
+    /// Parses a list. New names get indices.
+    ///
+    /// # Errors
+    /// The list is malformed; the error names the key.
+    pub(super) fn parse(&self, list: &Value) -> Result<ReceivedList, ListError> {
+        self.endpoints.borrow_mut().parse(list)
+    }
+
+    /// The version of the list in force.
+    pub(super) fn version(&self) -> u64 {
+        self.endpoints.borrow().version()
+    }
+
+    /// How many lists were received from discovery.
+    pub(super) fn lists_received(&self) -> u64 {
+        self.endpoints.borrow().lists_received()
+    }
+
+    /// Compares a list with the one in force, where it answers a call that was made when `lists_received` lists had been
+    /// received.
+    pub(super) fn compare(&self, list: &ReceivedList, lists_received: u64) -> ListVerdict {
+        self.endpoints.borrow_mut().compare(list, lists_received)
+    }
+
+    /// The zone of this limiter that has the name of the zone `zone` of a configuration with the zone names `names`.
+    pub fn zone(&self, names: &[String], zone: ZoneId) -> ZoneId {
+        self.endpoints.borrow_mut().zone(names, zone)
+    }
+
+    /// The names of zones, by their indices.
+    pub fn zone_names(&self) -> Vec<String> {
+        self.endpoints.borrow().zones().to_vec()
+    }
+
+    /// The list in force, in discovery's form.
+    pub fn list_to_json(&self) -> Value {
+        self.endpoints.borrow().to_json()
+    }
+
+    /// Whether a host was listed at some time, or there is an order on its maintenance.
+    pub fn has_listed(&self, name: &str) -> bool {
+        self.maintenance.borrow().contains(name)
     }
 
-    /// The hosts in maintenance.
-    pub fn maintenance(&self) -> &RefCell<MaintenanceRegistry> {
-        &self.maintenance
+    /// Puts a host into maintenance. [`Self::reapply_maintenance`] makes the change known.
+    ///
+    /// # Errors
+    /// The host was never listed.
+    pub fn disable(&self, name: &str, now: Nanos) -> Result<MaintenanceChange, UnknownHost> {
+        self.maintenance.borrow_mut().disable(name, now)
+    }
+
+    /// Ends the maintenance of a host. [`Self::reapply_maintenance`] makes the change known.
+    ///
+    /// # Errors
+    /// The host was never listed.
+    pub fn enable(&self, name: &str, now: Nanos) -> Result<MaintenanceChange, UnknownHost> {
+        self.maintenance.borrow_mut().enable(name, now)
+    }
+
+    /// A number that grows with every change of the maintenance.
+    pub fn maintenance_revision(&self) -> u64 {
+        self.maintenance.borrow().revision()
+    }
+
+    /// The latest order on the maintenance of each host.
+    pub fn maintenance_orders(&self) -> BTreeMap<String, MaintenanceOrder> {
+        self.maintenance.borrow().orders().clone()
+    }
+
+    /// The names of hosts listed so far, oldest first.
+    pub fn listed_names(&self) -> Vec<String> {
+        self.maintenance.borrow().listed_names().cloned().collect()
+    }
+
+    /// Takes in another process's listed hosts and its orders on maintenance.
+    pub fn merge_maintenance(
+        &self,
+        listed: &[String],
+        orders: &BTreeMap<String, MaintenanceOrder>,
+    ) {
+        let changed = {
+            let mut maintenance = self.maintenance.borrow_mut();
+            for name in listed {
+                maintenance.record_listed(name);
+            }
+            maintenance.merge(orders)
+        };
+        for name in changed {
+            self.reapply_maintenance(&name);
+        }
     }
 
     /// Whether a list was received from discovery since the start.
--- a/src/net/discovery/tests.rs
+++ b/src/net/discovery/tests.rs
@@ -7,6 +7,7 @@
 use crate::net::tests::{next, with_limiter};
 use crate::net::Limiter;
 use quartzcleat_admin::MaintenanceChange;
+use std::collections::BTreeMap;
 use std::rc::Rc;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -24,7 +25,7 @@
 fn apply_list(client: &DiscoveryClient, version: u64, is_full: bool, name: &str, state: &str) {
     let text = list_text(version, is_full, name, state);
     let json = serde_json::from_str(&text).expect("JSON");
-    let list = client.endpoints().borrow_mut().parse(&json);
+    let list = client.parse(&json);
     client.apply(&list.expect("a list"));
 }
 
@@ -102,11 +103,10 @@
         };
         apply(0, "SERVING", true);
         assert_eq!(state_for_engine(), HostState::Ready);
-        let maintenance = client.maintenance();
-        maintenance.borrow_mut().record_listed("s-1");
+        client.merge_maintenance(&["s-1".to_owned()], &BTreeMap::new());
         for round in 0..200 {
             let now = 1_000 * round;
-            let disabled = maintenance.borrow_mut().disable("s-1", now);
+            let disabled = client.disable("s-1", now);
             assert_eq!(disabled, Ok(MaintenanceChange::Changed));
             client.reapply_maintenance("s-1");
             assert_eq!(state_for_engine(), HostState::Draining, "at the order");
@@ -115,7 +115,7 @@
                 apply(round, state, is_full);
                 assert_eq!(state_for_engine(), HostState::Draining);
             }
-            let enabled = maintenance.borrow_mut().enable("s-1", now + 500);
+            let enabled = client.enable("s-1", now + 500);
             assert_eq!(enabled, Ok(MaintenanceChange::Changed));
             client.reapply_maintenance("s-1");
             assert_eq!(state_for_engine(), HostState::Ready);
@@ -135,7 +135,7 @@
         }
         sleep(limiter.limits().upstream.drain_grace.get()).await;
         apply_list(client, 200, false, "s-50", "SERVING");
-        let counts = client.endpoints().borrow().host_counts();
+        let counts = client.host_counts();
         let only_the_last = HostCounts {
             names: 1,
             ids: 1,
--- a/src/net/discovery/watch.rs
+++ b/src/net/discovery/watch.rs
@@ -71,7 +71,7 @@
     let opened_at = Instant::now();
     let mut has_answered = false;
     loop {
-        let lists_received = client.endpoints().borrow().lists_received();
+        let lists_received = client.lists_received();
         let response = connection.get(&request, limits).await.map_err(|error| {
             // A connection that is lost right after its first answer is not opened again without a pause.
             let reopen_at_once = has_answered
@@ -82,7 +82,7 @@
                 reopen_at_once,
             }
         })?;
-        let list = client.endpoints().borrow_mut().parse(&response.list)?;
+        let list = client.parse(&response.list)?;
         request = process(client, &list, lists_received, &request)?;
         backoff.answered();
         has_answered = true;
@@ -107,7 +107,7 @@
 fn first_request(client: &DiscoveryClient) -> ListRequest {
     let limits = client.limits();
     if limits.discovery.is_polled {
-        ListRequest::changes_since(client.endpoints().borrow().version(), limits)
+        ListRequest::changes_since(client.version(), limits)
     } else {
         ListRequest::full(limits.discovery.watch_grace)
     }
@@ -121,10 +121,7 @@
     request: &ListRequest,
 ) -> Result<ListRequest, DiscoveryError> {
     let limits = client.limits();
-    let verdict = client
-        .endpoints()
-        .borrow_mut()
-        .compare(list, lists_received);
+    let verdict = client.compare(list, lists_received);
     match verdict {
         ListVerdict::Supersedes => client.apply(list),
         ListVerdict::SameVersion => {}
@@ -154,7 +151,7 @@
 
 async fn check_once(client: &DiscoveryClient) {
     let address = client.address();
-    let lists_received = client.endpoints().borrow().lists_received();
+    let lists_received = client.lists_received();
     // A call that fails here fails at the watch too, which reports it.
     let Ok(Ok(list)) = timeout(
         client.limits().discovery.full_list_timeout,
@@ -167,11 +164,8 @@
     if client.address() != address || !list.is_full {
         return;
     }
-    let held = client.endpoints().borrow().version();
-    let verdict = client
-        .endpoints()
-        .borrow_mut()
-        .compare(&list, lists_received);
+    let held = client.version();
+    let verdict = client.compare(&list, lists_received);
     if verdict == ListVerdict::Supersedes && list.version != held {
         tracing::info!(held, version = list.version, "discovery watch is behind");
         client.apply(&list);
@@ -187,5 +181,5 @@
     let connection = DiscoveryConnection::open(address).await?;
     let request = ListRequest::full(limits.discovery.full_list_timeout);
     let response = connection.get_and_close(&request, limits).await?;
-    Ok(client.endpoints().borrow_mut().parse(&response.list)?)
+    Ok(client.parse(&response.list)?)
 }
--- a/src/net/engine/mod.rs
+++ b/src/net/engine/mod.rs
@@ -74,11 +74,6 @@
         self.executor.get_or_init(|| executor);
     }
 
-    /// The open requests.
-    pub fn requests(&self) -> &RefCell<OpenRequests> {
-        &self.requests
-    }
-
     /// Hands an event to the engine and carries out the actions that it orders. An event that follows from an action
     /// waits until all actions of the event before are carried out: the engine is never called from within its own
     /// actions.
@@ -160,6 +155,50 @@
         self.requests.borrow().has_capacity()
     }
 
+    /// Whether a request of this id is open, or has an attempt in flight.
+    pub fn contains_request(&self, id: RequestId) -> bool {
+        self.requests.borrow().contains(id)
+    }
+
+    /// Opens a request that has arrived at a moment, and takes its payload; returns its deadline.
+    pub fn open_request(
+        &self,
+        reply_to: ReplyTo,
+        request: &mut Request,
+        arrived: Instant,
+    ) -> Instant {
+        self.requests.borrow_mut().open(reply_to, request, arrived)
+    }
+
+    /// The ids of all open requests.
+    pub fn open_request_ids(&self) -> Vec<RequestId> {
+        self.requests.borrow().ids()
+    }
+
+    /// How many requests are open.
+    pub fn open_request_count(&self) -> usize {
+        self.requests.borrow().count()
+    }
+
+    /// Begins an attempt of a request at this moment.
+    ///
+    /// # Errors
+    /// The attempt must not be made.
+    pub fn begin_attempt(&self, order: AttemptOrder) -> Result<HostCall, AttemptNotAllowed> {
+        let now = Instant::now();
+        self.requests.borrow_mut().begin_attempt(order, now)
+    }
+
+    /// Cancels an attempt, if it is in flight.
+    pub fn cancel_attempt(&self, attempt_id: AttemptId) {
+        self.requests.borrow().cancel_attempt(attempt_id);
+    }
+
+    /// Records that an attempt is no longer in flight.
+    pub fn end_attempt(&self, attempt_id: AttemptId) {
+        self.requests.borrow_mut().end_attempt(attempt_id);
+    }
+
     /// Closes a request; returns the recipient of its answer, if it was open.
     pub fn close_request(&self, id: RequestId) -> Option<ReplyTo> {
         self.requests.borrow_mut().close(id)
--- a/src/net/engine/tests.rs
+++ b/src/net/engine/tests.rs
@@ -6,6 +6,11 @@
 use std::time::Duration;
 
 impl EngineDriver {
+    /// The open requests.
+    pub(crate) fn requests(&self) -> &RefCell<OpenRequests> {
+        &self.requests
+    }
+
     /// Leaves all events in the queue from now on.
     pub(crate) fn pause(&self) {
         self.is_running.set(true);
--- a/src/net/hot_restart/mod.rs
+++ b/src/net/hot_restart/mod.rs
@@ -120,7 +120,7 @@
             return;
         };
         let current = PublishedState {
-            maintenance_revision: self.discovery.maintenance().borrow().revision(),
+            maintenance_revision: self.discovery.maintenance_revision(),
             drain: self.shutdown.drain_order(),
             is_serving: self.is_serving.get(),
         };
@@ -138,7 +138,6 @@
     }
 
     fn shared_state(&self) -> SharedState {
-        let maintenance = self.discovery.maintenance().borrow();
         SharedState {
             version: FORMAT_VERSION,
             name: self.process.name.clone(),
@@ -146,8 +145,8 @@
             started_at: self.process.started_at,
             is_serving: self.is_serving.get(),
             drain: self.shutdown.drain_order(),
-            maintenance: maintenance.orders().clone(),
-            listed: maintenance.listed_names().cloned().collect(),
+            maintenance: self.discovery.maintenance_orders(),
+            listed: self.discovery.listed_names(),
         }
     }
 
@@ -209,16 +208,8 @@
 
     /// Applies the orders that another process published.
     fn apply(&self, state: &SharedState) {
-        let changed = {
-            let mut maintenance = self.discovery.maintenance().borrow_mut();
-            for name in &state.listed {
-                maintenance.record_listed(name);
-            }
-            maintenance.merge(&state.maintenance)
-        };
-        for name in changed {
-            self.discovery.reapply_maintenance(&name);
-        }
+        self.discovery
+            .merge_maintenance(&state.listed, &state.maintenance);
         self.shutdown.merge_drain_order(state.drain);
     }
 
@@ -227,11 +218,10 @@
         if !self.successors.borrow_mut().insert(successor.to_owned()) {
             return;
         }
-        let endpoints = self.discovery.endpoints().borrow();
         let handoff = Handoff::new(
             self.process.identity(),
-            endpoints.zones().to_vec(),
-            endpoints.to_json(),
+            self.discovery.zone_names(),
+            self.discovery.list_to_json(),
             self.engine.snapshot(),
         );
         match folder.write_handoff(successor, &handoff.to_text()) {
@@ -262,11 +252,9 @@
             }
         }
         let mut learned = handoff.learned;
-        {
-            let mut endpoints = self.discovery.endpoints().borrow_mut();
-            for snapshot in &mut learned.zones {
-                snapshot.zone = endpoints.zone(&handoff.zones, ZoneId(snapshot.zone)).0;
-            }
+        for snapshot in &mut learned.zones {
+            let zone = ZoneId(snapshot.zone);
+            snapshot.zone = self.discovery.zone(&handoff.zones, zone).0;
         }
         tracing::info!(
             hosts = learned.hosts.len(),
--- a/src/net/limiter.rs
+++ b/src/net/limiter.rs
@@ -206,12 +206,11 @@
         let mut connections = self.shutdown.subscribe_connections();
         // Requests that are still open past the time are failed below.
         let _ = timeout_at(last, connections.wait_for(|count| *count == 0)).await;
-        // The attempts of a client that has gone end by themselves; no answer is due for them.
-        while self.engine.requests().borrow().count() > 0 && Instant::now() < last {
+        // The attempts of a client that has gone end by themselves; no client waits for them.
+        while self.engine.open_request_count() > 0 && Instant::now() < last {
             sleep(self.limits.requests.deadline_margin).await;
         }
-        let open = self.engine.requests().borrow().ids();
-        for id in open {
+        for id in self.engine.open_request_ids() {
             complete::give_up(&self.pipeline, id);
         }
         let end = last + self.limits.shutdown.final_answer_margin.get();
--- a/src/net/reload.rs
+++ b/src/net/reload.rs
@@ -143,11 +143,7 @@
 
     /// Applies settings in which zones, classes and plans keep the indices that they had before.
     fn apply_settings(&self, mut settings: Settings, zone_names: &[String]) {
-        settings.limiters.own_zone = self
-            .discovery
-            .endpoints()
-            .borrow_mut()
-            .zone(zone_names, settings.limiters.own_zone);
+        settings.limiters.own_zone = self.discovery.zone(zone_names, settings.limiters.own_zone);
         let indexed = self.active_config.set_classes(&settings);
         tracing::info!(
             classes = settings.classes.len(),
--- a/src/net/resp/downstream/closing.rs
+++ b/src/net/resp/downstream/closing.rs
@@ -93,7 +93,7 @@
         }
         match progress.input {
             InputState::Malformed => CloseDecision::Close,
-            InputState::Empty if self.is_over_between_requests(progress, phase) => {
+            InputState::Empty if self.is_closed_between_requests(progress, phase) => {
                 CloseDecision::CloseUnlessReceived
             }
             InputState::Empty | InputState::PartialCommand => CloseDecision::Keep,
@@ -103,9 +103,9 @@
     /// Whether the connection closes as soon as it is between requests: clients are being drained, or it was accepted
     /// past the limit. Commands that were received together are all answered first. A connection that was accepted
     /// while clients are being drained, or past the limit, does not close before its first command.
-    fn is_over_between_requests(&self, progress: &Progress, phase: Phase) -> bool {
-        let had_its_chance = progress.has_responded || self.accepted_in < Phase::Closing;
-        let is_drained = phase >= Phase::Closing && had_its_chance;
+    fn is_closed_between_requests(&self, progress: &Progress, phase: Phase) -> bool {
+        let was_accepted_before = self.accepted_in < Phase::Closing;
+        let is_drained = phase >= Phase::Closing && (progress.has_responded || was_accepted_before);
         let is_rejected = self.admission == Admission::Rejected && progress.has_responded;
         is_drained || is_rejected
     }
--- a/src/net/stages/accept.rs
+++ b/src/net/stages/accept.rs
@@ -20,7 +20,7 @@
         return frontend.answer(place, Answer::Rejected { retry_after });
     }
     // An id that is still in use would make two requests one.
-    if pipeline.engine.requests().borrow().contains(request.id) {
+    if pipeline.engine.contains_request(request.id) {
         return frontend.answer(place, Answer::Failed);
     }
     // No request may still be open when the process has to be gone.
@@ -31,8 +31,6 @@
     let reply_to = ReplyTo { frontend, place };
     let deadline = pipeline
         .engine
-        .requests()
-        .borrow_mut()
-        .open(reply_to, &mut request, arrived);
+        .open_request(reply_to, &mut request, arrived);
     admit::admit(pipeline, request, deadline);
 }
--- a/src/net/stages/complete.rs
+++ b/src/net/stages/complete.rs
@@ -100,11 +100,7 @@
     } = attempt_id;
     let elapsed = elapsed(call);
     log_end(attempt_id, call.host, result.outcome, call);
-    pipeline
-        .engine
-        .requests()
-        .borrow_mut()
-        .end_attempt(attempt_id);
+    pipeline.engine.end_attempt(attempt_id);
     if result.outcome == Outcome::Good {
         // A streamed answer has closed the request already.
         answer(pipeline, id, Answer::Served(result.value));
--- a/src/net/stages/route.rs
+++ b/src/net/stages/route.rs
@@ -31,11 +31,7 @@
                 request: id,
                 attempt: attempt.0,
             };
-            pipeline
-                .engine
-                .requests()
-                .borrow()
-                .cancel_attempt(attempt_id);
+            pipeline.engine.cancel_attempt(attempt_id);
         }
         Action::Reject { id, retry_after } => {
             let retry_after = advised_wait(pipeline, retry_after);
@@ -73,12 +69,7 @@
 }
 
 fn begin_attempt(pipeline: &Rc<Pipeline>, order: AttemptOrder) {
-    let begun = pipeline
-        .engine
-        .requests()
-        .borrow_mut()
-        .begin_attempt(order, Instant::now());
-    match begun {
+    match pipeline.engine.begin_attempt(order) {
         Ok(call) => dispatch::send(pipeline, call),
         Err(AttemptNotAllowed { attempt }) => report_never_sent(pipeline, order, attempt),
     }
