--- a/crates/test-support/src/commands.rs
+++ b/crates/test-support/src/commands.rs
@@ -13,6 +13,10 @@
 /// The facts of a request of the class with idempotency keys.
 pub const HOLD_FACTS: &str =
     "c=bed-hold,t=operator,d=900,k=5c0f6e1a2b3d4c59,units=1,spread=1,first=0";
+/// The facts of a request that uses hardly any of its quota.
+pub const CHEAP_FACTS: &str = "c=bed-check,t=operator,d=900,units=0.01,spread=1,first=0";
+/// The body of an admin request on the only host of the toy platform.
+pub const TOY_HOST: &str = r#"{"host":"toy-0"}"#;
 /// The customer of all requests.
 const CUSTOMER: u64 = 77;
 
--- a/crates/test-support/src/limiter.rs
+++ b/crates/test-support/src/limiter.rs
@@ -265,6 +265,15 @@
         }
     }
 
+    /// The answer to one command on a connection of its own.
+    ///
+    /// # Panics
+    /// Panics where the connection fails.
+    #[must_use]
+    pub fn answer(&self, command: &str) -> String {
+        send(&mut self.connect(), command, 1)
+    }
+
     /// Connects, and sends a request that no host answers; by the return of this function the limiter has read it.
     ///
     /// # Panics
