--- a/tests/operations/admin.rs
+++ b/tests/operations/admin.rs
@@ -1,27 +1,31 @@
 //! The admin interface under stalled callers and load, and maintenance of a host.
 
-use crate::limiter_setup;
-use crate::{wait_until_served_again, TOY};
-use quartzcleat_test_support::commands::{request, send, served, CHECK_FACTS, PING};
+use crate::{limiter_setup, wait_until_served_again};
+use quartzcleat_test_support::commands::{request, send, served, CHECK_FACTS, PING, TOY_HOST};
+use quartzcleat_test_support::limiter::Limiter;
 use std::io::Write;
-use std::net::TcpStream;
+use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// Callers that finish no call hold nobody up, and no bad call changes anything.
-#[test]
-fn admin_interface_answers_while_callers_stall_and_bad_requests_change_nothing() {
-    let limiter = limiter_setup(20).start();
-    let stalled: Vec<_> = (0..50)
-        .map(|n| {
-            let mut caller = TcpStream::connect(limiter.admin).expect("the console listens");
+/// More callers than the admin interface serves at once.
+const STALLED_CALLERS: usize = 50;
+
+/// Callers that never finish their calls.
+fn stall_callers(limiter: &Limiter) -> Vec<TcpStream> {
+    (0..STALLED_CALLERS)
+        .map(|number| {
+            let mut caller = TcpStream::connect(limiter.admin).expect("the interface listens");
             caller
-                .write_all(&b"PUT /drain HTTP/1.1\r\n"[..n % 20])
-                .expect("the console reads");
+                .write_all(&b"PUT /drain HTTP/1.1\r\n"[..number % 20])
+                .expect("the interface reads");
             caller
         })
-        .collect();
-    let began = Instant::now();
+        .collect()
+}
+
+/// Makes valid and malformed calls, of which none changes anything.
+fn make_calls_without_effect(limiter: &Limiter) {
     for (method, path, body, status) in [
         ("GET", "/ready", "", 200),
         ("GET", "/drain", "", 405),
@@ -38,66 +42,76 @@
             "{method} {path} {body}"
         );
     }
+}
+
+#[test]
+fn admin_interface_answers_within_a_second_while_callers_stall() {
+    let limiter = limiter_setup(20).start();
+    let _stalled = stall_callers(&limiter);
+    let began = Instant::now();
+    make_calls_without_effect(&limiter);
     assert!(
         began.elapsed() < Duration::from_secs(1),
         "after {:?}",
         began.elapsed()
     );
-    assert_eq!(
-        send(
-            &mut limiter.connect(),
-            &(request("Q.ASK", 1, CHECK_FACTS, "") + PING),
-            2
-        ),
-        served(1) + "+PONG\r\n"
-    );
-    drop(stalled);
 }
 
-/// From the yes on nothing goes to the server, however often it is said; one call back ends it.
 #[test]
-fn host_in_maintenance_gets_nothing_until_it_is_enabled() {
+fn stalled_and_malformed_calls_change_nothing() {
+    let limiter = limiter_setup(37).start();
+    let _stalled = stall_callers(&limiter);
+    make_calls_without_effect(&limiter);
+    let commands = request("Q.ASK", 1, CHECK_FACTS, "") + PING;
+    let answers = send(&mut limiter.connect(), &commands, 2);
+    assert_eq!(answers, served(1) + "+PONG\r\n");
+}
+
+/// The order may be given again.
+#[test]
+fn host_in_maintenance_gets_no_request_until_it_is_enabled() {
     let limiter = limiter_setup(21).start();
     let mut client = limiter.connect();
-    assert_eq!(
-        send(&mut client, &request("Q.ASK", 1, CHECK_FACTS, ""), 1),
-        served(1)
-    );
-    assert_eq!(
-        (
-            limiter.call_admin("PUT", "/servers/disable", TOY),
-            limiter.call_admin("PUT", "/servers/disable", TOY)
-        ),
-        (200, 200)
-    );
-    let answer = send(&mut client, &request("Q.ASK", 2, CHECK_FACTS, ""), 1);
-    assert!(answer.starts_with("-BUSY"), "{answer}");
-    assert_eq!(limiter.call_admin("PUT", "/servers/enable", TOY), 200);
+    let before = send(&mut client, &request("Q.ASK", 1, CHECK_FACTS, ""), 1);
+    assert_eq!(before, served(1));
+    for _ in 0..2 {
+        let disabled = limiter.call_admin("PUT", "/servers/disable", TOY_HOST);
+        assert_eq!(disabled, 200);
+    }
+    let during = send(&mut client, &request("Q.ASK", 2, CHECK_FACTS, ""), 1);
+    assert!(during.starts_with("-BUSY"), "{during}");
+    let enabled = limiter.call_admin("PUT", "/servers/enable", TOY_HOST);
+    assert_eq!(enabled, 200);
     wait_until_served_again(&limiter);
 }
 
-/// The console answers within its second however busy the limiter is, while fifty callers stall.
+/// Sends batches of requests until `is_over`.
+fn saturate(client: u64, address: SocketAddr, is_over: &AtomicBool) {
+    const BATCH: u64 = 200;
+    let mut stream = TcpStream::connect(address).expect("the limiter listens");
+    let mut first_id = client << 40;
+    while !is_over.load(Ordering::Relaxed) {
+        let batch: String = (first_id..first_id + BATCH)
+            .map(|id| request("Q.ASK", id, CHECK_FACTS, ""))
+            .collect();
+        first_id += BATCH;
+        send(&mut stream, &batch, BATCH as usize);
+    }
+}
+
+/// The platform waits for a second.
 #[test]
-fn admin_interface_answers_while_the_limiter_is_saturated() {
+fn admin_interface_answers_within_a_second_while_the_limiter_is_saturated() {
     let limiter = limiter_setup(28).start();
-    let stalled: Vec<_> = (0..50)
-        .map(|_| TcpStream::connect(limiter.admin).expect("it listens"))
+    let _stalled: Vec<TcpStream> = (0..STALLED_CALLERS)
+        .map(|_| TcpStream::connect(limiter.admin).expect("the interface listens"))
         .collect();
-    let (over, address) = (AtomicBool::new(false), limiter.address);
+    let address = limiter.address;
+    let is_over = AtomicBool::new(false);
     std::thread::scope(|scope| {
-        for number in 1..=6_u64 {
-            let over = &over;
-            scope.spawn(move || {
-                let mut id = number << 40;
-                let mut stream = TcpStream::connect(address).expect("it listens");
-                while !over.load(Ordering::Relaxed) {
-                    let bytes: String = (0..200)
-                        .map(|n| request("Q.ASK", id + n, CHECK_FACTS, ""))
-                        .collect();
-                    id += 200;
-                    send(&mut stream, &bytes, 200);
-                }
-            });
+        for client in 1..=6 {
+            let is_over = &is_over;
+            scope.spawn(move || saturate(client, address, is_over));
         }
         let mut longest = Duration::ZERO;
         for _ in 0..20 {
@@ -105,9 +119,8 @@
             assert_eq!(limiter.call_admin("GET", "/ready", ""), 200);
             longest = longest.max(began.elapsed());
         }
-        over.store(true, Ordering::Relaxed);
+        is_over.store(true, Ordering::Relaxed);
         println!("the longest of 20 calls took {longest:?}");
         assert!(longest < Duration::from_secs(1), "{longest:?}");
     });
-    drop(stalled);
 }
--- a/tests/operations/draining.rs
+++ b/tests/operations/draining.rs
@@ -2,54 +2,80 @@
 
 use crate::limiter_setup;
 use quartzcleat_test_support::commands::{request, send, served, CHECK_FACTS, PING};
+use quartzcleat_test_support::limiter::Limiter;
 use std::io::Read;
+use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-/// Drained, it says no at once, serves who still comes, lets kept connections go, and is back at a word.
+/// A limiter that is draining, and a connection from before.
+struct DrainingLimiter {
+    limiter: Limiter,
+    kept: TcpStream,
+    ordered_at: Instant,
+}
+
+impl DrainingLimiter {
+    fn start(number: u8) -> Self {
+        let limiter = limiter_setup(number).start();
+        let mut kept = limiter.connect();
+        let answer = send(&mut kept, &request("Q.ASK", 1, CHECK_FACTS, ""), 1);
+        assert_eq!(answer, served(1));
+        let ordered_at = Instant::now();
+        assert_eq!(limiter.call_admin("PUT", "/drain", ""), 200);
+        DrainingLimiter {
+            limiter,
+            kept,
+            ordered_at,
+        }
+    }
+
+    /// Waits until connections close between requests.
+    fn wait_until_connections_close(&mut self) {
+        assert_eq!(self.kept.read(&mut [0]).expect("an end"), 0);
+    }
+}
+
 #[test]
-fn draining_closes_connections_between_requests_and_ends_by_order() {
-    let limiter = limiter_setup(22).start();
-    let mut kept = limiter.connect();
-    assert_eq!(
-        send(&mut kept, &request("Q.ASK", 1, CHECK_FACTS, ""), 1),
-        served(1)
-    );
-    let began = Instant::now();
-    assert_eq!(limiter.call_admin("PUT", "/drain", ""), 200);
-    assert_eq!(
-        (
-            send(&mut kept, PING, 1).as_str(),
-            limiter.call_admin("GET", "/ready", "")
-        ),
-        ("-ERR draining\r\n", 503)
-    );
-    assert_eq!(
-        send(
-            &mut limiter.connect(),
-            &request("Q.ASK", 2, CHECK_FACTS, ""),
-            1
-        ),
-        served(2)
-    );
-    assert_eq!(kept.read(&mut [0]).expect("an end"), 0);
-    assert!(
-        began.elapsed() < Duration::from_secs(2),
-        "after {:?}",
-        began.elapsed()
-    );
-    // Who comes all the same is heard once, and let go.
-    let mut late = limiter.connect();
+fn draining_is_announced_to_pings_and_to_the_admin_interface_at_once() {
+    let mut draining = DrainingLimiter::start(22);
+    assert_eq!(send(&mut draining.kept, PING, 1), "-ERR draining\r\n");
+    assert_eq!(draining.limiter.call_admin("GET", "/ready", ""), 503);
+}
+
+#[test]
+fn draining_limiter_serves_clients_that_still_come() {
+    let draining = DrainingLimiter::start(33);
+    let answer = draining
+        .limiter
+        .answer(&request("Q.ASK", 2, CHECK_FACTS, ""));
+    assert_eq!(answer, served(2));
+}
+
+#[test]
+fn draining_closes_kept_connections_within_2_s() {
+    let mut draining = DrainingLimiter::start(34);
+    draining.wait_until_connections_close();
+    let elapsed = draining.ordered_at.elapsed();
+    assert!(elapsed < Duration::from_secs(2), "after {elapsed:?}");
+}
+
+#[test]
+fn connection_that_comes_late_gets_one_answer_and_ends() {
+    let mut draining = DrainingLimiter::start(35);
+    draining.wait_until_connections_close();
+    let mut late = draining.limiter.connect();
     assert_eq!(send(&mut late, PING, 1), "-ERR draining\r\n");
     assert_eq!(late.read(&mut [0]).expect("an end"), 0);
+}
+
+#[test]
+fn limiter_is_back_after_an_order() {
+    let mut draining = DrainingLimiter::start(36);
+    draining.wait_until_connections_close();
+    let limiter = &draining.limiter;
     assert_eq!(limiter.call_admin("PUT", "/undrain", ""), 200);
-    let mut back = limiter.connect();
-    assert_eq!(
-        send(
-            &mut back,
-            &(PING.to_owned() + &request("Q.ASK", 3, CHECK_FACTS, "")),
-            2
-        ),
-        "+PONG\r\n".to_owned() + &served(3)
-    );
+    let commands = PING.to_owned() + &request("Q.ASK", 3, CHECK_FACTS, "");
+    let answers = send(&mut limiter.connect(), &commands, 2);
+    assert_eq!(answers, "+PONG\r\n".to_owned() + &served(3));
     assert_eq!(limiter.call_admin("GET", "/ready", ""), 200);
 }
--- a/tests/operations/hot_restart.rs
+++ b/tests/operations/hot_restart.rs
@@ -1,25 +1,39 @@
 //! A new version beside a running one.
 
-use crate::limiter_setup;
-use crate::{wait_until_served_again, TOY};
+use crate::{limiter_setup, wait_until_served_again};
 use quartzcleat_test_support::commands::{
-    call_admin, is_open, request, send, served, CHECK_FACTS, PING,
+    call_admin, is_open, request, served, ANSWER_TIMEOUT, CHEAP_FACTS, CHECK_FACTS, PING, TOY_HOST,
 };
+use quartzcleat_test_support::config::{with_few_sockets, with_long_deadline};
 use quartzcleat_test_support::limiter::{terminate, Limiter};
+use std::fs::DirEntry;
 use std::io::{Read, Write};
-use std::net::{SocketAddr, TcpStream};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::process::Child;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// What one client did.
+/// Whether a client uses a connection again.
+#[derive(Clone, Copy, PartialEq)]
+enum Connections {
+    Kept,
+    NewForEachRequest,
+}
+
+/// The requests of one client.
 struct ClientReport {
     requests: u64,
     /// Requests on kept connections that the limiter had closed.
     cut_off: u64,
 }
 
-/// Sends requests until `is_over`, on kept connections or on a new one each.
-fn run_client(number: u64, keeps: bool, address: SocketAddr, is_over: &AtomicBool) -> ClientReport {
+/// Sends requests until `is_over`.
+fn run_client(
+    number: u64,
+    connections: Connections,
+    address: SocketAddr,
+    is_over: &AtomicBool,
+) -> ClientReport {
     let facts = CHECK_FACTS.replace("units=1", "units=0.001");
     let first_id = number << 32;
     let mut id = first_id;
@@ -30,7 +44,7 @@
         let mut stream = kept
             .take()
             .filter(is_open)
-            .unwrap_or_else(|| TcpStream::connect(address).expect("somebody listens"));
+            .unwrap_or_else(|| TcpStream::connect(address).expect("a process listens"));
         stream
             .write_all(request("Q.ASK", id, &facts, "").as_bytes())
             .unwrap_or_default();
@@ -38,11 +52,14 @@
         match stream.read_exact(&mut answer) {
             Ok(()) => {
                 assert_eq!(String::from_utf8_lossy(&answer), served(id));
-                kept = keeps.then_some(stream);
+                kept = (connections == Connections::Kept).then_some(stream);
             }
             // A kept connection may end as the request is on its way; a fresh one may not.
-            Err(e) => {
-                assert!(keeps, "a new connection ends unheard: {e}");
+            Err(error) => {
+                assert!(
+                    connections == Connections::Kept,
+                    "a new connection ends without an answer: {error}"
+                );
                 cut_off += 1;
             }
         }
@@ -54,16 +71,24 @@
     }
 }
 
-/// Twenty new versions one after another, under load on new and on kept connections: none is refused, cut off or
+/// Twenty new versions one after another, under load on new and on kept connections: no request is rejected, cut off or
 /// failed.
 #[test]
 fn new_versions_take_over_without_a_request_lost() {
     let mut limiter = limiter_setup(23).start();
-    let (is_over, address) = (AtomicBool::new(false), limiter.address);
+    let address = limiter.address;
+    let is_over = AtomicBool::new(false);
     std::thread::scope(|scope| {
         let is_over = &is_over;
         let clients: Vec<_> = (1..=4)
-            .map(|number| scope.spawn(move || run_client(number, number > 2, address, is_over)))
+            .map(|number| {
+                let connections = if number > 2 {
+                    Connections::Kept
+                } else {
+                    Connections::NewForEachRequest
+                };
+                scope.spawn(move || run_client(number, connections, address, is_over))
+            })
             .collect();
         for number in 0..20 {
             let mut first = limiter.upgrade(number);
@@ -71,7 +96,8 @@
             assert!(first.wait().expect("it ends").success());
         }
         is_over.store(true, Ordering::Relaxed);
-        let (mut requests, mut cut_off) = (0, 0);
+        let mut requests = 0;
+        let mut cut_off = 0;
         for client in clients {
             let report = client.join().expect("every request was served");
             requests += report.requests;
@@ -84,98 +110,154 @@
     });
 }
 
-/// Waits until both processes are seen to refuse, since new connections come to either.
+/// How many requests in a row are rejected where both processes reject: new connections come to either.
+const REJECTIONS_BY_BOTH: usize = 12;
+
 fn wait_until_both_reject(limiter: &Limiter) {
-    let (began, few) = (Instant::now(), CHECK_FACTS.replace("units=1", "units=0.01"));
-    let mut ids = 5_000..;
-    let mut in_a_row = 0;
-    while in_a_row < 12 {
-        let answer = send(
-            &mut limiter.connect(),
-            &request("Q.ASK", ids.next().unwrap_or(0), &few, ""),
-            1,
-        );
-        in_a_row = if answer.starts_with("-BUSY") {
-            in_a_row + 1
+    let began = Instant::now();
+    let mut rejections = 0;
+    for id in 5_000.. {
+        let answer = limiter.answer(&request("Q.ASK", id, CHEAP_FACTS, ""));
+        rejections = if answer.starts_with("-BUSY") {
+            rejections + 1
         } else {
             0
         };
+        if rejections == REJECTIONS_BY_BOTH {
+            return;
+        }
         assert!(
             began.elapsed() < Duration::from_secs(15),
-            "not heard after {:?}",
+            "not known to both after {:?}",
             began.elapsed()
         );
     }
 }
 
-/// While two processes live, a word to either holds at both; if the second dies, the first goes on as if alone.
-#[test]
-fn orders_to_either_process_hold_for_both_and_the_second_may_die() {
-    let mut limiter = limiter_setup(27).start();
-    let old_console = limiter.admin;
-    let mut first = limiter.upgrade(70);
-    assert_eq!(call_admin(old_console, "PUT", "/servers/disable", TOY), 200);
-    wait_until_both_reject(&limiter);
-    assert_eq!(limiter.call_admin("PUT", "/drain", ""), 200);
+/// How soon an order to one process holds for the other.
+const ORDER_TIMEOUT: Duration = Duration::from_secs(1);
+
+fn wait_until_readiness_is(admin: SocketAddr, status: u16, timeout: Duration) {
     let began = Instant::now();
-    while call_admin(old_console, "GET", "/ready", "") != 503 {
+    while call_admin(admin, "GET", "/ready", "") != status {
         assert!(
-            began.elapsed() < Duration::from_secs(1),
-            "the drain is not heard"
+            began.elapsed() < timeout,
+            "the order does not reach the other process"
         );
     }
-    assert_eq!(call_admin(old_console, "PUT", "/undrain", ""), 200);
-    // The second is killed outright: what it was told stands at the first, and nothing is steered to it.
-    limiter.child.kill().expect("it is killed");
-    limiter.child.wait().expect("it ends");
-    limiter.admin = old_console;
-    assert_eq!(limiter.call_admin("PUT", "/servers/enable", TOY), 200);
-    wait_until_served_again(&limiter);
-    terminate(&first);
-    // Nobody relieves it: as at any planned end it takes connections for a while.
-    assert_eq!(send(&mut limiter.connect(), PING, 1), "+PONG\r\n");
-    assert!(first.wait().expect("it ends").success());
 }
 
-/// A first process that holds more than its half when the second comes, and takes no more for now, still hands over:
-/// the clients that wait in its queue are served as it ends.
+fn kill(process: &mut Child) {
+    process.kill().expect("it is killed");
+    process.wait().expect("it ends");
+}
+
+/// A limiter of two processes. Its fields are of the second one.
+struct TwoProcesses {
+    limiter: Limiter,
+    first: Child,
+    first_admin: SocketAddr,
+}
+
+impl TwoProcesses {
+    fn start(number: u8) -> Self {
+        let mut limiter = limiter_setup(number).start();
+        let first_admin = limiter.admin;
+        let first = limiter.upgrade(70);
+        TwoProcesses {
+            limiter,
+            first,
+            first_admin,
+        }
+    }
+
+    /// Kills the second process outright.
+    fn kill_second(&mut self) {
+        kill(&mut self.limiter.child);
+        self.limiter.admin = self.first_admin;
+    }
+}
+
+impl Drop for TwoProcesses {
+    fn drop(&mut self) {
+        // A process that has ended already is what is wanted.
+        let _ = self.first.kill();
+        let _ = self.first.wait();
+    }
+}
+
+#[test]
+fn maintenance_ordered_of_the_first_process_holds_for_both() {
+    let processes = TwoProcesses::start(27);
+    let disabled = call_admin(processes.first_admin, "PUT", "/servers/disable", TOY_HOST);
+    assert_eq!(disabled, 200);
+    wait_until_both_reject(&processes.limiter);
+}
+
+#[test]
+fn draining_ordered_of_the_second_process_holds_for_the_first_which_may_end_it() {
+    let processes = TwoProcesses::start(30);
+    assert_eq!(processes.limiter.call_admin("PUT", "/drain", ""), 200);
+    wait_until_readiness_is(processes.first_admin, 503, ORDER_TIMEOUT);
+    let undrained = call_admin(processes.first_admin, "PUT", "/undrain", "");
+    assert_eq!(undrained, 200);
+}
+
+/// The orders that the second process received stand at the first, which goes on as if alone.
+#[test]
+fn first_process_goes_on_when_the_second_is_killed() {
+    let mut processes = TwoProcesses::start(31);
+    let disabled = call_admin(processes.first_admin, "PUT", "/servers/disable", TOY_HOST);
+    assert_eq!(disabled, 200);
+    wait_until_both_reject(&processes.limiter);
+    assert_eq!(processes.limiter.call_admin("PUT", "/drain", ""), 200);
+    wait_until_readiness_is(processes.first_admin, 503, ORDER_TIMEOUT);
+    let undrained = call_admin(processes.first_admin, "PUT", "/undrain", "");
+    assert_eq!(undrained, 200);
+    processes.kill_second();
+    let enabled = processes
+        .limiter
+        .call_admin("PUT", "/servers/enable", TOY_HOST);
+    assert_eq!(enabled, 200);
+    wait_until_served_again(&processes.limiter);
+}
+
+/// No other process takes over: as at any planned end it accepts connections for a while.
+#[test]
+fn first_process_ends_as_if_alone_when_the_second_was_killed() {
+    let mut processes = TwoProcesses::start(32);
+    processes.kill_second();
+    terminate(&processes.first);
+    assert_eq!(processes.limiter.answer(PING), "+PONG\r\n");
+    assert!(processes.first.wait().expect("it ends").success());
+}
+
+/// A first process that holds more than its half of the connections when the second comes, and accepts no more for now,
+/// still hands over: the clients that wait in its queue are served as it ends.
 #[test]
 fn clients_waiting_for_a_crowded_process_are_served_as_it_ends() {
-    let long = "\"onTimeNs\": 60000000000, \"hardLimitNs\": 60000000000";
     let mut limiter = limiter_setup(29)
-        .with_config(move |text| {
-            let text = text.replace("\"sockets\": 1024", "\"sockets\": 128");
-            text.replace(
-                "\"onTimeNs\": 2000000000, \"hardLimitNs\": 7500000000",
-                long,
-            )
-        })
+        .with_config(|text| with_few_sockets(with_long_deadline(text)))
         .start();
-    let facts = "c=bed-check,t=operator,d=50000,units=0.1,spread=1,first=0";
-    let busy: Vec<_> = (100..140)
-        .map(|id| {
-            let mut client = limiter.connect();
-            let both = PING.to_owned() + &request("Q.ASK", id, facts, "silent");
-            assert_eq!(send(&mut client, &both, 1), "+PONG\r\n");
-            client
-        })
+    let _busy: Vec<TcpStream> = (100..140)
+        .map(|id| limiter.connect_with_pending_request(id))
         .collect();
-    let old_console = limiter.admin;
-    let first = limiter.upgrade(71);
-    // By the time that an order has come over, the first knows of the second, and keeps to its half.
-    for (word, status) in [("/drain", 503), ("/undrain", 200)] {
-        assert_eq!(limiter.call_admin("PUT", word, ""), 200);
-        while call_admin(old_console, "GET", "/ready", "") != status {}
-    }
+    let first_admin = limiter.admin;
+    let mut first = limiter.upgrade(71);
+    // Once an order has reached the first process, it knows of the second, and keeps to its half.
+    assert_eq!(limiter.call_admin("PUT", "/drain", ""), 200);
+    wait_until_readiness_is(first_admin, 503, ANSWER_TIMEOUT);
+    assert_eq!(limiter.call_admin("PUT", "/undrain", ""), 200);
+    wait_until_readiness_is(first_admin, 200, ANSWER_TIMEOUT);
     std::thread::scope(|scope| {
         let began = Instant::now();
         let waiting: Vec<_> = (0..20)
-            .map(|_| scope.spawn(|| send(&mut limiter.connect(), PING, 1)))
+            .map(|_| scope.spawn(|| limiter.answer(PING)))
             .collect();
         // The second has served some by now; the others wait in the queue of the first.
         terminate(&first);
         for client in waiting {
-            assert_eq!(client.join().expect("it is heard"), "+PONG\r\n");
+            assert_eq!(client.join().expect("it is answered"), "+PONG\r\n");
         }
         assert!(
             began.elapsed() < Duration::from_secs(3),
@@ -183,59 +265,50 @@
             began.elapsed()
         );
     });
-    drop(busy);
-    let mut first = first;
-    first.kill().expect("it is killed");
-    first.wait().expect("it ends");
+    kill(&mut first);
 }
 
-/// Maintenance ordered of the old process holds at the new one, and the order to enable given to the new one ends it.
+/// Maintenance ordered of the earlier process holds at the new one, and an order to the new one ends it.
 #[test]
-fn orders_of_staff_hold_over_a_new_version() {
+fn maintenance_holds_over_a_new_version() {
     let mut limiter = limiter_setup(24).start();
-    assert_eq!(limiter.call_admin("PUT", "/servers/disable", TOY), 200);
-    let mut first = limiter.upgrade(60);
-    first.kill().expect("it is killed");
-    first.wait().expect("it ends");
-    let mut client = limiter.connect();
-    let answer = send(&mut client, &request("Q.ASK", 1, CHECK_FACTS, ""), 1);
+    let disabled = limiter.call_admin("PUT", "/servers/disable", TOY_HOST);
+    assert_eq!(disabled, 200);
+    kill(&mut limiter.upgrade(60));
+    let answer = limiter.answer(&request("Q.ASK", 1, CHECK_FACTS, ""));
     assert!(answer.starts_with("-BUSY"), "{answer}");
-    assert_eq!(limiter.call_admin("PUT", "/servers/enable", TOY), 200);
+    let enabled = limiter.call_admin("PUT", "/servers/enable", TOY_HOST);
+    assert_eq!(enabled, 200);
     wait_until_served_again(&limiter);
 }
 
-/// A version that starts while discovery is silent has the list that the first one holds, and serves by it.
+/// Replaces a limiter by a new version that starts while discovery is silent.
+fn upgrade_without_discovery(limiter: &mut Limiter) -> TcpListener {
+    let silent = TcpListener::bind("127.0.0.1:0").expect("a port is free");
+    limiter.discovery = silent.local_addr().expect("it has an address");
+    kill(&mut limiter.upgrade(72));
+    silent
+}
+
 #[test]
 fn new_version_serves_by_the_handed_over_list() {
     let mut limiter = limiter_setup(39).start();
-    assert_eq!(
-        send(
-            &mut limiter.connect(),
-            &request("Q.ASK", 1, CHECK_FACTS, ""),
-            1
-        ),
-        served(1)
-    );
-    let silent = std::net::TcpListener::bind("127.0.0.1:0").expect("an address");
-    limiter.discovery = silent.local_addr().expect("an address");
-    let mut first = limiter.upgrade(72);
-    first.kill().expect("it is killed");
-    first.wait().expect("it ends");
-    assert_eq!(
-        send(
-            &mut limiter.connect(),
-            &request("Q.ASK", 2, CHECK_FACTS, ""),
-            1
-        ),
-        served(2)
-    );
-    let left = std::fs::read_dir(&limiter.folder)
-        .expect("it is there")
-        .flatten();
-    let left = left.filter(|file| {
-        file.path()
-            .extension()
-            .is_some_and(|end| end == "heritage" || end == "draft")
-    });
-    assert_eq!(left.count(), 0, "what was handed over is taken away");
+    let answer = limiter.answer(&request("Q.ASK", 1, CHECK_FACTS, ""));
+    assert_eq!(answer, served(1));
+    let _silent = upgrade_without_discovery(&mut limiter);
+    let answer = limiter.answer(&request("Q.ASK", 2, CHECK_FACTS, ""));
+    assert_eq!(answer, served(2));
+}
+
+#[test]
+fn new_version_removes_the_handoff_that_it_took() {
+    let mut limiter = limiter_setup(40).start();
+    let _silent = upgrade_without_discovery(&mut limiter);
+    let is_of_handoff = |file: &DirEntry| {
+        let path = file.path();
+        let suffix = path.extension();
+        suffix.is_some_and(|suffix| suffix == "heritage" || suffix == "draft")
+    };
+    let files = std::fs::read_dir(&limiter.folder).expect("the folder is there");
+    assert_eq!(files.flatten().filter(is_of_handoff).count(), 0);
 }
