--- a/crates/fault-injection/src/row/tests.rs
+++ b/crates/fault-injection/src/row/tests.rs
@@ -6,6 +6,7 @@
 use quartzcleat_decision::api::LimiterIndex;
 use quartzcleat_lease::FencingToken;
 
+/// An accepted action of 5 ms.
 fn action(from_ms: u64, round: u64, proposer: u32) -> Action {
     Action {
         from: Duration::from_millis(from_ms),
@@ -30,15 +31,24 @@
     Row::of(&scenario, 4, &report)
 }
 
-#[test]
-fn row_names_the_violation_and_is_read_as_it_was_written() {
-    let marks = vec![Mark {
+/// Actions of which the last one has a stale token.
+fn actions_with_stale_token() -> [Action; 3] {
+    [action(0, 1, 0), action(20, 2, 1), action(40, 1, 0)]
+}
+
+/// The row of a run with these actions, and a fault before them.
+fn row_of_violation() -> Row {
+    let pause = Mark {
         at: Duration::from_millis(8),
         limiter: LimiterIndex(0),
         event: MarkEvent::Began(FaultKind::Pause),
-    }];
-    let actions = [action(0, 1, 0), action(20, 2, 1), action(40, 1, 0)];
-    let row = row_of(&actions, marks);
+    };
+    row_of(&actions_with_stale_token(), vec![pause])
+}
+
+#[test]
+fn row_names_the_violation_and_the_faults_before_it() {
+    let row = row_of_violation();
     assert!(
         !row.holds() && row.finding.starts_with("an old token was let in"),
         "{}",
@@ -49,19 +59,31 @@
         "{}",
         row.finding
     );
+}
+
+#[test]
+fn row_is_read_as_it_was_written() {
+    let row = row_of_violation();
     let line = serde_json::to_string(&row).expect("it is written");
     assert_eq!(serde_json::from_str::<Row>(&line).ok(), Some(row));
-    let valid = row_of(&actions[..2], Vec::new());
-    assert!(valid.holds() && valid.finding.is_empty());
-    assert!(row_of(&actions[..1], Vec::new()).empty);
+}
+
+#[test]
+fn row_of_a_run_without_violation_has_no_finding() {
+    let row = row_of(&actions_with_stale_token()[..2], Vec::new());
+    assert!(row.holds() && row.finding.is_empty());
+}
+
+#[test]
+fn run_without_a_change_of_holder_is_empty() {
+    assert!(row_of(&actions_with_stale_token()[..1], Vec::new()).empty);
 }
 
 /// The text as it was stored before the types got their present names.
 #[test]
 fn finding_keeps_its_stored_text() {
-    let actions = [action(0, 1, 0), action(20, 2, 1), action(40, 1, 0)];
     assert_eq!(
-        row_of(&actions, Vec::new()).finding,
+        row_of(&actions_with_stale_token(), Vec::new()).finding,
         "an old token was let in: Seen { from: 20ms, to: 25ms, token: Ballot { round: 2, bidder: 1, boot: 1 }, accepted: true }\n  \
          then Seen { from: 40ms, to: 45ms, token: Ballot { round: 1, bidder: 0, boot: 1 }, accepted: true }\n"
     );
--- a/crates/fault-injection/src/shrink/tests.rs
+++ b/crates/fault-injection/src/shrink/tests.rs
@@ -2,18 +2,20 @@
 
 use super::*;
 
-#[test]
-fn shrinking_keeps_what_a_failure_needs_and_removes_all_else() {
+/// A scenario with thirty limiters and several faults.
+fn large_scenario() -> Scenario {
     let text = include_str!("../../../../deploy/trials/thirty.yaml");
-    let scenario = Scenario::read("thirty.yaml", text)
+    Scenario::read("thirty.yaml", text)
         .expect("the scenario is valid")
-        .with_schedule_of(3);
+        .with_schedule_of(3)
+}
+
+#[test]
+fn shrinking_keeps_the_fault_that_a_failure_needs_and_removes_all_else() {
+    let scenario = large_scenario();
     let kind = scenario.faults[2].kind;
-    let needed = |scenario: &Scenario| scenario.faults.iter().any(|fault| fault.kind == kind);
-    let mut runs = 0;
     let small = shrink(scenario.clone(), |candidate| {
-        runs += 1;
-        needed(candidate)
+        candidate.faults.iter().any(|fault| fault.kind == kind)
     });
     assert_eq!(
         (small.faults.len(), small.limiters, small.voters),
@@ -23,8 +25,27 @@
     assert!(
         small.duration < scenario.duration && small.faults[0].duration <= scenario.lease_length * 2
     );
+}
+
+#[test]
+fn shrinking_runs_few_candidates() {
+    let scenario = large_scenario();
+    let kind = scenario.faults[2].kind;
+    let mut runs = 0;
+    shrink(scenario, |candidate| {
+        runs += 1;
+        candidate.faults.iter().any(|fault| fault.kind == kind)
+    });
     assert!(runs < 60, "{runs} candidates were run");
-    // A scenario that always fails loses all its faults; one that does not fail again stays as it is.
-    assert!(shrink(scenario.clone(), |_| true).faults.is_empty());
+}
+
+#[test]
+fn scenario_that_always_fails_loses_all_faults() {
+    assert!(shrink(large_scenario(), |_| true).faults.is_empty());
+}
+
+#[test]
+fn scenario_that_does_not_fail_again_stays_as_it_is() {
+    let scenario = large_scenario();
     assert_eq!(shrink(scenario.clone(), |_| false), scenario);
 }
--- a/crates/invariants/src/checker/tests.rs
+++ b/crates/invariants/src/checker/tests.rs
@@ -1,20 +1,22 @@
+//! Runs that violate an invariant, and runs that do not. Times are in milliseconds.
+
 use super::*;
 use crate::process::{PartnerIndex, Process};
 use quartzcleat_decision::api::{CellId, ZoneId};
 
-const MS: Nanos = 1_000_000;
+const MILLISECOND: Nanos = 1_000_000;
 
 fn limits(effect: Effect, dedup_scope: DedupScope) -> InvariantLimits {
     let class = ClassLimits {
         effect,
         dedup_scope,
-        dedup_window: 4_000 * MS,
+        dedup_window: 4_000 * MILLISECOND,
     };
     InvariantLimits {
         classes: vec![class],
         max_attempts: 4,
-        drain_grace: 1_000 * MS,
-        answer_grace: 16 * MS,
+        drain_grace: 1_000 * MILLISECOND,
+        answer_grace: 16 * MILLISECOND,
         time_tolerance: 0,
     }
 }
@@ -33,8 +35,11 @@
 
 const ID: RequestId = RequestId(7);
 
-fn record(at: Nanos, fact: Fact) -> Record {
-    Record { at: at * MS, fact }
+fn record(at_ms: Nanos, fact: Fact) -> Record {
+    Record {
+        at: at_ms * MILLISECOND,
+        fact,
+    }
 }
 
 fn received(at: Nanos, deadline: Nanos) -> Record {
@@ -45,7 +50,7 @@
         class: ClassIndex(0),
         partner: PartnerIndex(0),
         units: 1.0,
-        deadline: deadline * MS,
+        deadline: deadline * MILLISECOND,
     };
     record(at, fact)
 }
@@ -118,136 +123,183 @@
 }
 
 #[test]
-fn each_request_has_one_answer_in_time_with_a_value_of_a_host() {
-    use Effect::Idempotent;
+fn request_without_an_answer_is_a_violation() {
+    let run = [received(0, 900)];
     assert_eq!(
-        violated(Idempotent, DedupScope::All, &[received(0, 900)]),
+        violated(Effect::Idempotent, DedupScope::All, &run),
         [Invariant::OneAnswer]
     );
-    let twice = [
+}
+
+#[test]
+fn second_answer_is_a_violation() {
+    let run = [
         received(0, 900),
         answered(1, Answer::Failed),
         answered(2, Answer::Failed),
     ];
     assert_eq!(
-        violated(Idempotent, DedupScope::All, &twice),
+        violated(Effect::Idempotent, DedupScope::All, &run),
         [Invariant::OneAnswer]
     );
+}
+
+#[test]
+fn answer_after_the_deadline_is_a_violation() {
+    let run = [received(0, 900), answered(950, Answer::Failed)];
     assert_eq!(
-        violated(
-            Idempotent,
-            DedupScope::All,
-            &[received(0, 900), answered(950, Answer::Failed)]
-        ),
+        violated(Effect::Idempotent, DedupScope::All, &run),
         [Invariant::OneAnswer]
     );
+}
+
+#[test]
+fn value_that_no_host_made_is_a_violation() {
+    let run = [received(0, 900), answered(1, Answer::Served)];
+    assert_eq!(
+        violated(Effect::Idempotent, DedupScope::All, &run),
+        [Invariant::Values]
+    );
+}
+
+#[test]
+fn request_whose_client_has_left_needs_no_answer() {
+    let left = record(5, Fact::ClientLeft { request: ID });
     assert_eq!(
         violated(
-            Idempotent,
+            Effect::Idempotent,
             DedupScope::All,
-            &[received(0, 900), answered(1, Answer::Served)]
+            &[received(0, 900), left]
         ),
-        [Invariant::Values]
+        []
     );
-    let left = [
-        received(0, 900),
-        Record {
-            at: 5,
-            fact: Fact::ClientLeft { request: ID },
-        },
-    ];
-    assert_eq!(violated(Idempotent, DedupScope::All, &left), []);
 }
 
 #[test]
-fn attempts_are_sequential_and_capped() {
-    let two = [
+fn second_attempt_in_flight_is_a_violation() {
+    let run = [
         received(0, 900),
         sent(1, 0, 0),
         sent(2, 1, 1),
         answered(3, Answer::Failed),
     ];
-    assert!(violated(Effect::Idempotent, DedupScope::All, &two).contains(&Invariant::AttemptCap));
-    let mut five = vec![received(0, 900)];
+    let violated = violated(Effect::Idempotent, DedupScope::All, &run);
+    assert!(violated.contains(&Invariant::AttemptCap));
+}
+
+#[test]
+fn attempt_beyond_the_cap_is_a_violation() {
+    let mut run = vec![received(0, 900)];
     for attempt in 0..5 {
-        five.push(sent(u64::from(attempt) * 2, attempt, 0));
-        five.push(ended(
-            u64::from(attempt) * 2 + 1,
-            attempt,
-            Outcome::Rejected,
-        ));
+        let at = Nanos::from(attempt) * 2;
+        run.push(sent(at, attempt, 0));
+        run.push(ended(at + 1, attempt, Outcome::Rejected));
     }
-    five.push(answered(20, Answer::Failed));
+    run.push(answered(20, Answer::Failed));
     assert_eq!(
-        violated(Effect::Idempotent, DedupScope::All, &five),
+        violated(Effect::Idempotent, DedupScope::All, &run),
         [Invariant::AttemptCap]
     );
 }
 
+/// A request whose first attempt may have run, and which is sent again at a time to a host.
+fn repeated(second_at: Nanos, host: usize) -> [Record; 6] {
+    [
+        received(0, 900),
+        sent(1, 0, 0),
+        ended(2, 0, Outcome::Reset),
+        sent(second_at, 1, host),
+        ended(second_at, 1, Outcome::Rejected),
+        answered(899, Answer::Failed),
+    ]
+}
+
 #[test]
-fn possibly_executed_request_is_repeated_only_as_its_class_allows() {
-    let again = |second: Nanos, host: usize| {
-        let first = ended(2, 0, Outcome::Reset);
-        [
-            received(0, 900),
-            sent(1, 0, 0),
-            first,
-            sent(second, 1, host),
-            ended(second, 1, Outcome::Rejected),
-            answered(899, Answer::Failed),
-        ]
-    };
+fn unsafe_request_that_may_have_run_must_not_be_repeated() {
     assert_eq!(
-        violated(Effect::Unsafe, DedupScope::Cell, &again(3, 1)),
+        violated(Effect::Unsafe, DedupScope::Cell, &repeated(3, 1)),
         [Invariant::SafeRepeats]
     );
+}
+
+#[test]
+fn request_with_key_may_be_repeated_where_its_key_is_recognised() {
+    let with_key = Effect::IdempotentWithKey;
+    assert_eq!(violated(with_key, DedupScope::All, &repeated(3, 1)), []);
+    assert_eq!(violated(with_key, DedupScope::Cell, &repeated(3, 0)), []);
+}
+
+#[test]
+fn request_with_key_must_not_be_repeated_outside_its_scope() {
     assert_eq!(
-        violated(Effect::IdempotentWithKey, DedupScope::All, &again(3, 1)),
-        []
-    );
-    assert_eq!(
-        violated(Effect::IdempotentWithKey, DedupScope::Cell, &again(3, 1)),
+        violated(Effect::IdempotentWithKey, DedupScope::Cell, &repeated(3, 1)),
         [Invariant::SafeRepeats]
     );
+}
+
+#[test]
+fn request_with_key_must_not_be_repeated_after_its_window() {
     assert_eq!(
-        violated(Effect::IdempotentWithKey, DedupScope::Cell, &again(3, 0)),
-        []
-    );
-    assert_eq!(
-        violated(Effect::IdempotentWithKey, DedupScope::All, &again(4_001, 0)),
+        violated(
+            Effect::IdempotentWithKey,
+            DedupScope::All,
+            &repeated(4_001, 0)
+        ),
         [Invariant::SafeRepeats]
     );
-    let refused = [
+}
+
+/// A request that is rejected although its attempt may have run.
+fn rejected_after_possible_execution() -> [Record; 4] {
+    [
         received(0, 900),
         sent(1, 0, 0),
         ended(2, 0, Outcome::Reset),
         answered(3, Answer::Rejected(0)),
-    ];
+    ]
+}
+
+#[test]
+fn request_that_may_have_run_must_not_be_rejected_where_a_retry_may_leave_its_scope() {
+    let run = rejected_after_possible_execution();
     assert_eq!(
-        violated(Effect::IdempotentWithKey, DedupScope::Cell, &refused),
+        violated(Effect::IdempotentWithKey, DedupScope::Cell, &run),
         [Invariant::SafeRepeats]
     );
+}
+
+#[test]
+fn request_that_may_have_run_may_be_rejected_where_all_hosts_recognise_its_key() {
+    let run = rejected_after_possible_execution();
     assert_eq!(
-        violated(Effect::IdempotentWithKey, DedupScope::All, &refused),
+        violated(Effect::IdempotentWithKey, DedupScope::All, &run),
         []
     );
 }
 
+/// A request that is sent to a host after its drain was announced twice, at 0 ms and at 900 ms.
+fn sent_to_draining_host(sent_at: Nanos) -> [Record; 6] {
+    [
+        draining(0),
+        draining(900),
+        received(800, 9_000),
+        sent(sent_at, 0, 0),
+        ended(sent_at, 0, Outcome::Rejected),
+        answered(sent_at, Answer::Rejected(0)),
+    ]
+}
+
 #[test]
-fn drain_has_one_grace_period() {
-    let run = |sent_at: Nanos| {
-        vec![
-            draining(0),
-            draining(900),
-            received(800, 9_000),
-            sent(sent_at, 0, 0),
-            ended(sent_at, 0, Outcome::Rejected),
-            answered(sent_at, Answer::Rejected(0)),
-        ]
-    };
-    assert_eq!(violated(Effect::Idempotent, DedupScope::All, &run(999)), []);
+fn attempt_within_the_grace_period_of_a_drain_is_no_violation() {
+    let run = sent_to_draining_host(999);
+    assert_eq!(violated(Effect::Idempotent, DedupScope::All, &run), []);
+}
+
+#[test]
+fn repeated_announcement_of_a_drain_starts_no_new_grace_period() {
+    let run = sent_to_draining_host(1_001);
     assert_eq!(
-        violated(Effect::Idempotent, DedupScope::All, &run(1_001)),
+        violated(Effect::Idempotent, DedupScope::All, &run),
         [Invariant::Drains]
     );
 }
--- a/crates/simulation/src/host/tests.rs
+++ b/crates/simulation/src/host/tests.rs
@@ -1,15 +1,17 @@
+//! Arrivals, queues and the overload of hosts that warm up.
+
 use super::*;
 use quartzcleat_decision::api::SlowStartSettings;
 
-const MS: Nanos = 1_000_000;
+const MILLISECOND: Nanos = 1_000_000;
 
 fn settings() -> Settings {
     Settings {
         slow_start: SlowStartSettings {
             initial_capacity: 0.15,
-            duration: 18_000 * MS,
+            duration: 18_000 * MILLISECOND,
             overload_factor: 3.0,
-            overload_duration: 1_500 * MS,
+            overload_duration: 1_500 * MILLISECOND,
         },
         ..Settings::default()
     }
@@ -23,53 +25,79 @@
     }
 }
 
-#[test]
-fn attempts_take_cores_then_the_queue_then_are_rejected() {
+/// A host with one core and one place in its queue.
+fn small_host() -> Host {
     let setup = HostSetup {
         cores: 1,
         queue_capacity: 1,
         ..HostSetup::default()
     };
-    let settings = settings();
-    let mut host = Host::new(&setup, MS);
-    let arrivals: Vec<_> = (0..3)
-        .map(|number| host.receive(attempt(number), 100 * MS, &settings, MS))
-        .collect();
+    Host::new(&setup, MILLISECOND)
+}
+
+/// What happens to so many attempts that arrive at once.
+fn arrivals(host: &mut Host, attempts: u64, now: Nanos) -> Vec<Arrival> {
+    (0..attempts)
+        .map(|number| host.receive(attempt(number), 100 * MILLISECOND, &settings(), now))
+        .collect()
+}
+
+#[test]
+fn attempts_take_cores_then_the_queue_then_are_rejected() {
     assert_eq!(
-        arrivals,
+        arrivals(&mut small_host(), 3, MILLISECOND),
         [Arrival::Started, Arrival::Queued, Arrival::Rejected]
     );
-    assert_eq!(
-        (host.finish_job(), host.finish_job()),
-        (Some(attempt(1)), None)
-    );
+}
+
+#[test]
+fn finished_job_gives_its_core_to_the_queued_attempt() {
+    let mut host = small_host();
+    arrivals(&mut host, 3, MILLISECOND);
+    assert_eq!(host.finish_job(), Some(attempt(1)));
+    assert_eq!(host.finish_job(), None);
+}
+
+#[test]
+fn dead_host_refuses_connections() {
+    let mut host = small_host();
     host.stop(HostStatus::Dead);
     assert_eq!(
-        host.receive(attempt(5), MS, &settings, MS),
-        Arrival::ConnectionRefused
+        arrivals(&mut host, 1, MILLISECOND),
+        [Arrival::ConnectionRefused]
     );
 }
 
-#[test]
-fn host_that_warms_up_is_slow_and_can_be_overloaded() {
+/// A host that has just started.
+fn starting_host() -> Host {
     let setup = HostSetup {
         uptime: Some(0),
         ..HostSetup::default()
     };
-    let settings = settings();
-    let mut host = Host::new(&setup, MS);
-    assert_eq!(host.execution_time(150 * MS, &settings, MS), 1_000 * MS);
-    // It can do 3 x 0.15 x 1.5 s = 0.675 s of work in the time, and is overloaded past three times that.
-    let arrivals: Vec<_> = (0..25)
-        .map(|number| host.receive(attempt(number), 100 * MS, &settings, MS))
-        .collect();
-    let overload = arrivals
+    Host::new(&setup, MILLISECOND)
+}
+
+#[test]
+fn host_that_warms_up_is_slow() {
+    let work = 150 * MILLISECOND;
+    assert_eq!(
+        starting_host().execution_time(work, &settings(), MILLISECOND),
+        1_000 * MILLISECOND
+    );
+}
+
+/// It can do 3 x 0.15 x 1.5 s = 0.675 s of work in the time, and is overloaded past three times that.
+#[test]
+fn host_that_warms_up_can_be_overloaded() {
+    let overload = arrivals(&mut starting_host(), 25, MILLISECOND)
         .iter()
         .position(|arrival| *arrival == Arrival::Overloads);
     assert_eq!(overload, Some(20));
-    let mut warm = Host::new(&setup, MS);
-    let later = 20_000 * MS;
-    assert!((0..25).all(
-        |number| warm.receive(attempt(number), 100 * MS, &settings, later) != Arrival::Overloads
-    ));
+}
+
+#[test]
+fn warm_host_cannot_be_overloaded() {
+    let after_warm_up = 20_000 * MILLISECOND;
+    let arrivals = arrivals(&mut starting_host(), 25, after_warm_up);
+    assert!(!arrivals.contains(&Arrival::Overloads));
 }
--- a/crates/simulation/src/limiter/tests.rs
+++ b/crates/simulation/src/limiter/tests.rs
@@ -1,3 +1,5 @@
+//! Attempts and counter calls of a limiter.
+
 use super::*;
 use quartzcleat_decision::api::Outcome;
 
