--- a/crates/bench/src/deployments/judge.rs
+++ b/crates/bench/src/deployments/judge.rs
@@ -1,4 +1,4 @@
-//! Simulates one deployment and compares what it serves with the baseline.
+//! Simulates one deployment and compares the value that it serves with the baseline.
 
 use super::baseline::served_value;
 use super::generate::{generate, Deployment};
@@ -60,11 +60,11 @@
         .map(|violation| format!("{}: {}", violation.invariant.name(), violation.description))
         .collect();
     let baseline = served_value(scenario).max(MIN_BASELINE_VALUE);
-    let mut ledger = Ledger::new(&scenario.ground_truth, &scenario.steps);
+    let mut totals = ValueTotals::new(&scenario.ground_truth, &scenario.steps);
     for record in &run.records {
-        ledger.add(record);
+        totals.add(record);
     }
-    let value = ledger.value().relative_to(baseline);
+    let value = totals.value().relative_to(baseline);
     DeploymentResult {
         seed,
         deployment,
@@ -93,27 +93,27 @@
 }
 
 /// Adds up values from the records of a simulation.
-struct Ledger<'a> {
+struct ValueTotals<'a> {
     settings: &'a Settings,
     /// The plan of each operation.
     plans: BTreeMap<u64, PlanIndex>,
     operations: BTreeMap<u64, Operation>,
     requests: BTreeMap<RequestId, Request>,
-    /// Exact quotas of what is requested.
+    /// Exact quotas, charged by requests.
     requested: ExactQuotas,
-    /// Exact quotas of what is attempted.
+    /// Exact quotas, charged by attempts.
     attempted: ExactQuotas,
     served: f64,
     beyond_quotas: f64,
 }
 
-impl<'a> Ledger<'a> {
+impl<'a> ValueTotals<'a> {
     fn new(settings: &'a Settings, steps: &[Step]) -> Self {
         let plan = |step: &Step| match &step.event {
-            ScenarioEvent::Request(ask) => Some((ask.operation, ask.plan)),
+            ScenarioEvent::Request(request) => Some((request.operation, request.plan)),
             _ => None,
         };
-        Ledger {
+        ValueTotals {
             settings,
             plans: steps.iter().filter_map(plan).collect(),
             operations: BTreeMap::new(),
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -1,4 +1,4 @@
-//! `quartzcleat-bench`: each figure in the docs is produced by one of these commands, which stands beside it there.
+//! `quartzcleat-bench`: each figure in the docs comes from a command of this program, which stands beside the figure.
 
 mod damage;
 mod deployments;
--- a/crates/bench/src/trial/mod.rs
+++ b/crates/bench/src/trial/mod.rs
@@ -61,7 +61,7 @@
     /// The form of the report.
     #[arg(long, value_enum, default_value_t = Format::Text)]
     format: Format,
-    /// Draws the last seed (or the first that failed): which limiter acted when, and which faults struck it.
+    /// Draws the last seed (or the first that failed): the actions and faults of each limiter over time.
     #[arg(long)]
     plot: Option<PathBuf>,
     /// Shrinks the scenario of the first failing seed as long as it still fails, and writes it to this file.
--- a/crates/bench/src/trial/plot.rs
+++ b/crates/bench/src/trial/plot.rs
@@ -1,5 +1,5 @@
-//! The picture of a run: a row for each limiter, its actions as the target accepted or refused them, and the faults that
-//! struck it over their time.
+//! The picture of a run: a row for each limiter, its actions as the target accepted or refused them, and its faults
+//! over their time.
 
 use plotters::coord::types::RangedCoordf64;
 use plotters::prelude::*;
@@ -81,7 +81,7 @@
     }
 }
 
-/// The limiters that have a row: those that acted or were struck, in their order.
+/// The limiters that have a row: those with an action or a fault, in their order.
 struct Rows(Vec<LimiterIndex>);
 
 impl Rows {
@@ -90,8 +90,8 @@
             .seen
             .iter()
             .map(|action| LimiterIndex(action.token.proposer));
-        let struck = spans.iter().map(|span| span.limiter);
-        let mut limiters: Vec<LimiterIndex> = acted.chain(struck).collect();
+        let faulty = spans.iter().map(|span| span.limiter);
+        let mut limiters: Vec<LimiterIndex> = acted.chain(faulty).collect();
         limiters.sort_unstable();
         limiters.dedup();
         limiters.truncate(MAX_ROWS);
--- a/crates/fakes/src/client.rs
+++ b/crates/fakes/src/client.rs
@@ -43,18 +43,20 @@
 }
 
 /// Sends a request, and retries once where the scenario's clients do.
-pub(crate) async fn run(context: &Context, ask: ClientRequest) {
-    if ask.retry && answer_of_earlier_request(context, ask.operation).await == Some(Answer::Served)
+pub(crate) async fn run(context: &Context, client_request: ClientRequest) {
+    if client_request.retry
+        && answer_of_earlier_request(context, client_request.operation).await
+            == Some(Answer::Served)
     {
         return;
     }
-    let Some(answer) = send(context, &ask).await else {
+    let Some(answer) = send(context, &client_request).await else {
         return;
     };
     let Some(retry) = &context.scenario.retry else {
         return;
     };
-    if answer == Answer::Served || ask.retry {
+    if answer == Answer::Served || client_request.retry {
         return;
     }
     let retry_after = match answer {
@@ -62,7 +64,7 @@
         Answer::Served | Answer::Failed => 0,
     };
     sleep(Duration::from_nanos(retry.delay.max(retry_after))).await;
-    send(context, &retry_of(context, &ask, retry)).await;
+    send(context, &retry_of(context, &client_request, retry)).await;
 }
 
 /// Waits until the request before a retry is answered; `None` where there was none.
@@ -78,71 +80,83 @@
 }
 
 /// The retry of a request, through the next limiter of its spread where clients change limiters.
-fn retry_of(context: &Context, ask: &ClientRequest, retry: &RetryPolicy) -> ClientRequest {
+fn retry_of(
+    context: &Context,
+    client_request: &ClientRequest,
+    retry: &RetryPolicy,
+) -> ClientRequest {
     let mut again = ClientRequest {
         retry: true,
-        ..ask.clone()
+        ..client_request.clone()
     };
-    if retry.next_limiter && ask.limiter_set.count > 1 {
+    if retry.next_limiter && client_request.limiter_set.count > 1 {
         let limiters = context.scenario.processes.limiters.len();
-        again.limiter = ask.limiter_set.next_after(ask.limiter, limiters);
+        again.limiter = client_request
+            .limiter_set
+            .next_after(client_request.limiter, limiters);
     }
     again
 }
 
 /// Sends one request and returns its answer; `None` where no limiter accepted it.
-async fn send(context: &Context, ask: &ClientRequest) -> Option<Answer> {
-    let Some(address) = context.limiter_address(ask.limiter) else {
-        let limiter = context.scenario.processes.limiter(ask.limiter);
+async fn send(context: &Context, client_request: &ClientRequest) -> Option<Answer> {
+    let Some(address) = context.limiter_address(client_request.limiter) else {
+        let limiter = context.scenario.processes.limiter(client_request.limiter);
         context.remark(format!("{limiter} takes no connection"));
         return None;
     };
     let id = context.next_request();
-    let command = request_command(context, ask, id);
-    context.operations.borrow_mut().insert(ask.operation, None);
+    let command = request_command(context, client_request, id);
+    context
+        .operations
+        .borrow_mut()
+        .insert(client_request.operation, None);
     let state = RequestState {
-        class: ask.class,
-        operation: ask.operation,
+        class: client_request.class,
+        operation: client_request.operation,
         attempts: 0,
     };
     context.requests.borrow_mut().insert(id, state);
-    let answer = match exchange(context, address, &command, id, ask).await {
+    let answer = match exchange(context, address, &command, id, client_request).await {
         Ok(answer) => answer,
         Err(_) => {
             // A limiter that died took its connections along; one that lives and closes without an answer
             // leaves the request unanswered in the records.
-            if context.limiter_address(ask.limiter).is_none() {
+            if context.limiter_address(client_request.limiter).is_none() {
                 context.record(Fact::ClientLeft { request: id });
             }
             None
         }
     };
     let known = answer.or(Some(Answer::Failed));
-    context.operations.borrow_mut().insert(ask.operation, known);
+    context
+        .operations
+        .borrow_mut()
+        .insert(client_request.operation, known);
     answer
 }
 
 /// A request in the platform's form.
-fn request_command(context: &Context, ask: &ClientRequest, id: RequestId) -> Vec<u8> {
+fn request_command(context: &Context, client_request: &ClientRequest, id: RequestId) -> Vec<u8> {
     let settings = &context.scenario.settings;
-    let class = &settings.classes[ask.class.as_usize()];
-    let plan = settings.plans.get(ask.plan.as_usize());
+    let class = &settings.classes[client_request.class.as_usize()];
+    let plan = settings.plans.get(client_request.plan.as_usize());
     let plan = plan.map_or("", |plan| plan.name.as_str());
-    let wait_ms = ask.timeout.div_ceil(NANOS_PER_MS);
+    let wait_ms = client_request.timeout.div_ceil(NANOS_PER_MS);
     let mut facts = format!("c={},t={plan},d={wait_ms}", class.name);
     if class.effect == Effect::IdempotentWithKey {
-        facts.push_str(&format!(",k={:016x}", ask.operation));
+        facts.push_str(&format!(",k={:016x}", client_request.operation));
     }
     facts.push_str(&format!(
         ",units={},spread={},first={}",
-        ask.units, ask.limiter_set.count, ask.limiter_set.first
+        client_request.units, client_request.limiter_set.count, client_request.limiter_set.first
     ));
     let verb = if class.effect == Effect::Idempotent {
         "Q.ASK"
     } else {
         "Q.DO"
     };
-    let customer = format!("{:016x}", ask.partner.0 + 1);
+    let customer = format!("{:016x}", client_request.partner.0 + 1);
     resp::encode_command(&[verb, &customer, &wire_id(id), &facts])
 }
 
@@ -155,23 +169,23 @@
     address: SocketAddr,
     command: &[u8],
     id: RequestId,
-    ask: &ClientRequest,
+    client_request: &ClientRequest,
 ) -> io::Result<Option<Answer>> {
     let mut stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
     // Recorded before it is written: the limiter may act on it before this task goes on.
     context.record(Fact::RequestReceived {
         request: id,
-        limiter: ask.limiter,
-        operation: ask.operation,
-        class: ask.class,
-        partner: ask.partner,
-        units: ask.units,
-        deadline: context.now() + ask.timeout,
+        limiter: client_request.limiter,
+        operation: client_request.operation,
+        class: client_request.class,
+        partner: client_request.partner,
+        units: client_request.units,
+        deadline: context.now() + client_request.timeout,
     });
     stream.write_all(command).await?;
-    let patience = Duration::from_nanos(ask.timeout) + LATE_ANSWER_TIME;
-    let Ok(reply) = timeout(patience, read_reply(&mut stream)).await else {
+    let answer_timeout = Duration::from_nanos(client_request.timeout) + LATE_ANSWER_TIME;
+    let Ok(reply) = timeout(answer_timeout, read_reply(&mut stream)).await else {
         return Ok(None);
     };
     let answer = answer_from(reply?, id)?;
--- a/crates/fakes/src/events.rs
+++ b/crates/fakes/src/events.rs
@@ -23,7 +23,7 @@
 pub(crate) async fn apply(context: &Rc<Context>, event: ScenarioEvent) {
     let host_name = |host: HostIndex| context.scenario.processes.host(host);
     match event {
-        ScenarioEvent::Request(ask) => start_client(context, ask),
+        ScenarioEvent::Request(request) => start_client(context, request),
         ScenarioEvent::DrainHost(host) => {
             context.remark(format!("{} begins to drain", host_name(host)));
             context.hosts.borrow_mut()[host.0].model.draining = true;
@@ -61,13 +61,13 @@
     }
 }
 
-fn start_client(context: &Rc<Context>, ask: ClientRequest) {
+fn start_client(context: &Rc<Context>, request: ClientRequest) {
     context
         .waiting_clients
         .set(context.waiting_clients.get() + 1);
     let context = context.clone();
     spawn(async move {
-        client::run(&context, ask).await;
+        client::run(&context, request).await;
         context
             .waiting_clients
             .set(context.waiting_clients.get() - 1);
--- a/crates/fakes/src/process.rs
+++ b/crates/fakes/src/process.rs
@@ -200,7 +200,7 @@
 
     /// Kills the process.
     pub async fn kill(mut self) {
-        // A process that has ended already is what is wanted.
+        // A process that has ended already needs no signal.
         let _ = self.0.kill().await;
     }
 
--- a/crates/fakes/src/server/host_attempt.rs
+++ b/crates/fakes/src/server/host_attempt.rs
@@ -1,5 +1,5 @@
 //! One attempt at a fake host: queued, executed or dropped as a duplicate by the simulation's model, and answered as the
-//! scenario's fate for it demands.
+//! scenario's outcome for it demands.
 
 use crate::context::{Context, DeduplicationKey};
 use crate::resp::CommandStream;
@@ -176,23 +176,23 @@
 
 /// The true cost of an operation, in units; zero where the scenario has none.
 fn cost(scenario: &Scenario, operation: u64) -> f64 {
-    let ask = scenario.steps.iter().find_map(|step| match &step.event {
-        ScenarioEvent::Request(ask) if ask.operation == operation => Some(ask),
+    let request = scenario.steps.iter().find_map(|step| match &step.event {
+        ScenarioEvent::Request(request) if request.operation == operation => Some(request),
         _ => None,
     });
-    ask.map_or(0.0, |ask| ask.true_units)
+    request.map_or(0.0, |request| request.true_units)
 }
 
-/// Executes an attempt, or ends it as its fate demands.
+/// Executes an attempt, or ends it as the outcome that the scenario chose demands.
 async fn execute(context: &Rc<Context>, attempt: &Attempt) -> HostReply {
     let number = attempt.job.attempt.as_usize();
-    let fate = context.choose(
+    let outcome = context.choose(
         ChoicePoint::Attempt,
         number,
         &context.scenario.attempt_outcomes,
     );
-    let fate = fate.unwrap_or(AttemptOutcome::Normal);
-    match fate {
+    let outcome = outcome.unwrap_or(AttemptOutcome::Normal);
+    match outcome {
         AttemptOutcome::Rejected | AttemptOutcome::ConnectionRefused => return HostReply::Busy,
         AttemptOutcome::ResetBeforeExecution => return HostReply::Reset,
         AttemptOutcome::RequestLost => return HostReply::Silence,
@@ -206,7 +206,7 @@
         return reply;
     }
     let done = start_work(context, attempt);
-    match fate {
+    match outcome {
         AttemptOutcome::Error => return HostReply::Error,
         AttemptOutcome::ResetAfterExecution => return HostReply::Reset,
         AttemptOutcome::AnswerLost => return HostReply::Silence,
@@ -214,7 +214,7 @@
     }
     // The work's task ends by sending; there is nothing to learn from a failure.
     let _ = done.await;
-    if fate == AttemptOutcome::Late {
+    if outcome == AttemptOutcome::Late {
         sleep(latency_objective(context, attempt.class)).await;
     }
     if context.hosts.borrow()[attempt.host.0].model.status == HostStatus::Unreachable {
@@ -237,13 +237,13 @@
 async fn reach_core(context: &Rc<Context>, attempt: &Attempt) -> Result<(), HostReply> {
     let now = context.now();
     let work = work(context, attempt.class);
-    let reached = context.hosts.borrow_mut()[attempt.host.0].model.receive(
+    let arrival = context.hosts.borrow_mut()[attempt.host.0].model.receive(
         attempt.job,
         work,
         &context.scenario.ground_truth,
         now,
     );
-    match reached {
+    match arrival {
         Arrival::Started => Ok(()),
         Arrival::Queued => {
             let started = context.hosts.borrow_mut()[attempt.host.0].enqueue(attempt.job);
@@ -260,7 +260,7 @@
     }
 }
 
-/// Starts the work, which goes on whatever becomes of its connection; the receiver resolves at its end.
+/// Starts the work, which goes on after its connection is closed; the receiver resolves at its end.
 fn start_work(context: &Rc<Context>, attempt: &Attempt) -> oneshot::Receiver<()> {
     let host = attempt.host;
     let deduplicated = is_duplicate(context, attempt);
--- a/crates/fault-injection/src/network.rs
+++ b/crates/fault-injection/src/network.rs
@@ -24,7 +24,7 @@
 }
 
 impl Network {
-    /// Opens the links between all limiters that communicate: limiters that do not vote communicate with voters only.
+    /// Opens the links between all limiters that communicate: limiters that are not acceptors communicate with acceptors only.
     pub(crate) async fn open(scenario: &Scenario, seed: u64) -> std::io::Result<Network> {
         let traffic = Rc::new(Cell::new(LinkTraffic::default()));
         let mut addresses = Vec::new();
@@ -106,7 +106,7 @@
 }
 
 /// Whether a limiter is one of the minority that begins with `first`: less than half of all, so that the others hold a
-/// majority of any odd set of voters that they contain.
+/// majority of any odd set of acceptors that they contain.
 fn is_in_minority(limiter: LimiterIndex, first: LimiterIndex, limiters: usize) -> bool {
     (limiter.as_usize() + limiters - first.as_usize()) % limiters < limiters.div_ceil(2) - 1
 }
--- a/crates/fault-injection/src/shrink.rs
+++ b/crates/fault-injection/src/shrink.rs
@@ -1,5 +1,5 @@
 //! Shrinks a failing scenario: fewer faults, fewer limiters, shorter faults, an earlier end. It knows no processes: the
-//! caller runs a smaller scenario and tells whether it still fails.
+//! caller runs a smaller scenario and returns whether it still fails.
 
 use crate::Scenario;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 #[cfg(test)]
 mod tests;
 
-/// The fewest voters whose majority survives the loss of one.
+/// The fewest acceptors whose majority survives the loss of one.
 const MIN_VOTERS: usize = 3;
 
 /// Shrinks a scenario as long as it still fails. `fails` should run it more than once, since processes never run the same
--- a/crates/fault-injection/src/trial.rs
+++ b/crates/fault-injection/src/trial.rs
@@ -95,7 +95,7 @@
         clock_line(&self.scenario.clocks, &mut self.clock_rng.borrow_mut())
     }
 
-    /// Injects the schedule's faults and reports what was observed until the scenario's end.
+    /// Injects the schedule's faults and reports all observations until the scenario's end.
     pub(crate) async fn run(self: Rc<Self>) -> RunReport {
         let start = Instant::now();
         let mut rng = fastrand::Rng::with_seed(!self.seed);
--- a/crates/fault-injection/src/verdict.rs
+++ b/crates/fault-injection/src/verdict.rs
@@ -12,7 +12,7 @@
 /// The longest action that a later one is compared with.
 const OVERLAP_SEARCH_TIME: Duration = Duration::from_secs(1);
 
-/// What a mark tells of a fault.
+/// The event of a fault that a mark records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MarkEvent {
     /// The fault began.
--- a/crates/invariants/src/invariant.rs
+++ b/crates/invariants/src/invariant.rs
@@ -1,10 +1,10 @@
-//! The invariants, what they are measured by, and what a violation of one is.
+//! The invariants, their limits, and violations.
 
 use quartzcleat_decision::api::{
     Class, ClassIndex, DedupScope, Effect, Nanos, RequestId, Settings,
 };
 
-/// A statement that holds for every run, whatever its configuration.
+/// A statement that holds for every run with any configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Invariant {
     /// Each request received gets exactly one final answer, before its client gives up.
--- a/crates/simulation/src/event_queue.rs
+++ b/crates/simulation/src/event_queue.rs
@@ -55,7 +55,7 @@
         host: HostIndex,
         outcome: AttemptOutcome,
     },
-    /// A host has finished a job. The start time of its process tells whether it is still the same one.
+    /// A host has finished a job. The start time of its process shows whether it is still the same one.
     JobFinished {
         #[expect(dead_code, reason = "distinguishes states in the fingerprint")]
         attempt: AttemptKey,
@@ -88,15 +88,9 @@
     pub(crate) event: Event,
 }
 
-impl ScheduledEvent {
-    fn order(&self) -> (Nanos, u64) {
-        (self.at, self.sequence)
-    }
-}
-
 impl PartialEq for ScheduledEvent {
     fn eq(&self, other: &Self) -> bool {
-        self.order() == other.order()
+        self.cmp(other) == Ordering::Equal
     }
 }
 
@@ -110,7 +104,9 @@
 
 impl Ord for ScheduledEvent {
     fn cmp(&self, other: &Self) -> Ordering {
-        self.order().cmp(&other.order())
+        self.at
+            .cmp(&other.at)
+            .then(self.sequence.cmp(&other.sequence))
     }
 }
 
--- a/crates/simulation/src/scenario.rs
+++ b/crates/simulation/src/scenario.rs
@@ -1,4 +1,4 @@
-//! A scenario as plain data: which processes there are, what is given, and what happens when.
+//! A scenario as plain data: processes, settings, and events with their times.
 
 use crate::oracle::ChoicePoint;
 use quartzcleat_decision::api::{ClassIndex, HostState, LimiterIndex, Nanos, PlanIndex, Settings};
@@ -238,12 +238,12 @@
     pub next_limiter: bool,
 }
 
-/// The processes, what is given, and what happens.
+/// Processes, settings and events.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Scenario {
     /// The settings of each limiter; its own index, its zone and the number of limiters are filled in for it.
     pub settings: Settings,
-    /// What holds in truth, whatever the limiters' settings say: how long hosts deduplicate, how they warm up, and
+    /// The actual behaviour of hosts, which the limiters' settings may misstate: how long hosts deduplicate, how they warm up, and
     /// when one that warms up is overloaded.
     pub ground_truth: Settings,
     /// The names and places of the processes.
--- a/crates/simulation/src/simulation.rs
+++ b/crates/simulation/src/simulation.rs
@@ -1,4 +1,4 @@
-//! A run of a scenario: its steps and what follows from them, one event after another in virtual time.
+//! A run of a scenario: its steps and their consequences, one event after another in virtual time.
 //!
 //! [`Simulation`] owns the state of all processes. Its methods are grouped by concern: [`setup`] starts a run,
 //! [`limiters`] feeds the decision engines and carries out their actions, [`attempts`] follows attempts to hosts and
--- a/crates/simulation/src/simulation/attempts.rs
+++ b/crates/simulation/src/simulation/attempts.rs
@@ -253,16 +253,7 @@
         if is_good {
             self.answer(attempt.limiter, attempt.request, Answer::Served);
         }
-        let true_units = match outcome {
-            Outcome::Good => self.clients.true_units(in_flight.operation),
-            _ => 0.0,
-        };
-        if true_units > 0.0 {
-            self.record(Fact::UnitsSettled {
-                request: attempt.request,
-                units: true_units,
-            });
-        }
+        let true_units = self.settle_units(attempt.request, in_flight.operation, outcome);
         let done = api::Event::AttemptDone {
             id: attempt.request,
             attempt: attempt.attempt,
@@ -277,6 +268,18 @@
         self.handle(attempt.limiter, done)
     }
 
+    /// The true units that an answer states; zero where it states none.
+    fn settle_units(&mut self, request: RequestId, operation: u64, outcome: Outcome) -> f64 {
+        if outcome != Outcome::Good {
+            return 0.0;
+        }
+        let units = self.clients.true_units(operation);
+        if units > 0.0 {
+            self.record(Fact::UnitsSettled { request, units });
+        }
+        units
+    }
+
     /// A host's process dies, and the connections of its attempts are reset.
     pub(super) fn kill_host(&mut self, host: HostIndex) {
         self.hosts[host.0].stop(HostStatus::Dead);
--- a/crates/simulation/src/simulation/environment.rs
+++ b/crates/simulation/src/simulation/environment.rs
@@ -86,7 +86,7 @@
 }
 
 impl ScenarioEvent {
-    /// The event in words, where no other fact of the run tells it.
+    /// The event in words; `None` where another fact of the run records it.
     fn describe(&self, processes: &Processes) -> Option<String> {
         let host = |index: HostIndex| processes.host(index);
         let text = match self {
--- a/crates/simulation/tests/simulation.rs
+++ b/crates/simulation/tests/simulation/main.rs
@@ -1,191 +1,18 @@
 //! Runs of the simulation: what happens in them is what the scenario says, the same each time, within the invariants.
 
-use quartzcleat_decision::api::{
-    AttemptIndex, AttemptSettings, BackoffSettings, Capabilities, CellId, Class, ClassIndex,
-    CounterSettings, DedupScope, Effect, GraceSettings, LimiterIndex, LimiterSettings, Nanos,
-    Outcome, Plan, PlanIndex, Settings, SlowStartSettings, UnitSettings, ZoneId,
-};
-use quartzcleat_invariants::{
-    check, Answer, Fact, HostIndex, InvariantLimits, PartnerIndex, Process, Processes, Record,
-    Violation,
-};
+mod scenario;
+
+use quartzcleat_decision::api::{AttemptIndex, LimiterIndex, Outcome};
+use quartzcleat_invariants::{check, Answer, Fact, HostIndex, InvariantLimits, Record, Violation};
 use quartzcleat_simulation::oracle::{ChoicePath, FirstOption};
 use quartzcleat_simulation::scenario::{
-    AttemptOutcome, ClientRequest, CounterCallOutcome, CounterMode, CounterSetup, HostSetup,
-    LimiterSet, NetworkDelays, RetryPolicy, Scenario, ScenarioEvent, Step,
+    AttemptOutcome, CounterCallOutcome, CounterMode, RetryPolicy, Scenario, ScenarioEvent,
 };
 use quartzcleat_simulation::{simulate, ChoicePoint, Oracle};
-
-const MILLISECOND: Nanos = 1_000_000;
-const SECOND: Nanos = 1_000 * MILLISECOND;
-const START: Nanos = 1_000_000 * SECOND;
-
-/// An idempotent class.
-const BED_CHECK: ClassIndex = ClassIndex(0);
-/// A class with idempotency keys.
-const BED_HOLD: ClassIndex = ClassIndex(1);
-const BED_CHECK_DEADLINE: Nanos = 7_500 * MILLISECOND;
-const BED_HOLD_DEADLINE: Nanos = 4 * SECOND;
-
-fn classes() -> Vec<Class> {
-    let class = Class {
-        dedup_scope: DedupScope::All,
-        dedup_window: 4 * SECOND,
-        priority_weight: 2.0,
-        late_weight: 0.2,
-        ..Class::default()
-    };
-    let bed_check = Class {
-        name: "bed-check".into(),
-        effect: Effect::Idempotent,
-        latency_objective: 2 * SECOND,
-        deadline: BED_CHECK_DEADLINE,
-        ..class.clone()
-    };
-    let bed_hold = Class {
-        name: "bed-hold".into(),
-        effect: Effect::IdempotentWithKey,
-        latency_objective: SECOND,
-        deadline: BED_HOLD_DEADLINE,
-        ..class
-    };
-    vec![bed_check, bed_hold]
-}
-
-fn settings() -> Settings {
-    Settings {
-        classes: classes(),
-        plans: vec![Plan {
-            name: "guide".into(),
-            rate: 1.6,
-            burst: 8.0,
-            weight_factor: 0.72,
-            ..Plan::default()
-        }],
-        limiters: LimiterSettings {
-            tick: 4 * MILLISECOND,
-            ..LimiterSettings::default()
-        },
-        counter: CounterSettings {
-            is_available: true,
-            timeout: 30 * MILLISECOND,
-            ..CounterSettings::default()
-        },
-        units: UnitSettings {
-            largest_request: 6.0,
-            ..UnitSettings::default()
-        },
-        capabilities: Capabilities {
-            cancel: true,
-            ..Capabilities::default()
-        },
-        backoff: BackoffSettings {
-            sends_retry_after: true,
-            longest_retry_after: SECOND,
-        },
-        attempts: AttemptSettings {
-            max_per_request: 4,
-            max_requests_in_progress: 20_000,
-            connect_timeout: 250 * MILLISECOND,
-        },
-        grace: GraceSettings {
-            answer: 16 * MILLISECOND,
-            drain: SECOND,
-        },
-        slow_start: SlowStartSettings {
-            initial_capacity: 0.15,
-            duration: 18 * SECOND,
-            overload_factor: 3.0,
-            overload_duration: 1_500 * MILLISECOND,
-        },
-        ..Settings::default()
-    }
-}
-
-fn scenario(hosts: u32, steps: Vec<Step>) -> Scenario {
-    let process = |name: String, zone| Process {
-        name,
-        zone: ZoneId(zone),
-        cell: CellId(0),
-    };
-    let processes = Processes {
-        zones: vec!["room-a".into(), "room-b".into(), "room-c".into()],
-        limiters: (0..3)
-            .map(|index| process(format!("limiter-{index}"), index))
-            .collect(),
-        hosts: (0..hosts)
-            .map(|index| process(format!("n{index}"), index % 3))
-            .collect(),
-        partners: vec!["X".into(), "Y".into()],
-        classes: vec!["bed-check".into(), "bed-hold".into()],
-    };
-    Scenario {
-        settings: settings(),
-        ground_truth: settings(),
-        processes,
-        hosts: vec![HostSetup::default(); hosts as usize],
-        network: NetworkDelays::default(),
-        start: START,
-        start_offsets: vec![0],
-        seeds: vec![7],
-        discovery_delays: vec![0],
-        counter: CounterSetup::default(),
-        attempt_outcomes: vec![AttemptOutcome::Normal],
-        work: vec![180 * MILLISECOND, 110 * MILLISECOND],
-        log_deviation: 0.0,
-        steps,
-        retry: None,
-        max_duration: 20 * SECOND,
-        variant: None,
-    }
-}
-
-fn request(operation: u64, class: ClassIndex, limiter: LimiterIndex) -> ScenarioEvent {
-    let timeout = if class == BED_CHECK {
-        BED_CHECK_DEADLINE
-    } else {
-        BED_HOLD_DEADLINE
-    };
-    ScenarioEvent::Request(ClientRequest {
-        operation,
-        class,
-        partner: PartnerIndex(0),
-        plan: PlanIndex(0),
-        units: 1.0,
-        true_units: 0.0,
-        limiter,
-        limiter_set: LimiterSet {
-            count: 3,
-            first: LimiterIndex(0),
-        },
-        timeout,
-        retry: false,
-    })
-}
-
-fn step(moments: &[Nanos], event: ScenarioEvent) -> Step {
-    Step {
-        moments: moments.to_vec(),
-        event,
-        reorder_group: None,
-    }
-}
-
-/// The limiter of a request that comes through all of them in turn.
-fn limiter_in_turn(request: u64) -> LimiterIndex {
-    LimiterIndex((request % 3) as u32)
-}
-
-/// Requests of alternating classes through all limiters in turn.
-fn mixed_requests(count: u64, interval: Nanos) -> Vec<Step> {
-    (0..count)
-        .map(|number| {
-            let class = if number % 2 == 0 { BED_CHECK } else { BED_HOLD };
-            let event = request(number, class, limiter_in_turn(number));
-            step(&[number * interval], event)
-        })
-        .collect()
-}
+use scenario::{
+    limiter_in_turn, mixed_requests, request, scenario, step, BED_CHECK, BED_HOLD, MILLISECOND,
+    SECOND, START,
+};
 
 fn answers(records: &[Record]) -> Vec<Answer> {
     let answer = |record: &Record| match record.fact {
@@ -420,8 +247,7 @@
     scenario
 }
 
-/// The decision engine keeps the invariants whatever attempts, calls, hosts and discovery do; 300 runs of one seed
-/// each.
+/// Attempts, counter calls, hosts and discovery fail in every way; 300 runs of one seed each.
 #[test]
 fn invariants_hold_in_random_runs() {
     let scenario = scenario_with_faults();
--- a/crates/test-support/src/actions.rs
+++ b/crates/test-support/src/actions.rs
@@ -1,4 +1,4 @@
-//! What a decision engine ordered, and the questions that tests have about it.
+//! The actions of a decision engine, and the questions that tests have about them.
 
 use quartzcleat_decision::api::{Action, HostId, Nanos, RequestId, Timer};
 use std::ops::{Deref, DerefMut};
--- a/crates/test-support/src/engine.rs
+++ b/crates/test-support/src/engine.rs
@@ -86,12 +86,12 @@
     }
 }
 
-/// A request that the engine has received, and what it ordered.
+/// A request that the engine has received, with its actions.
 #[derive(Clone, Debug)]
 pub struct ReceivedRequest {
     /// The request.
     pub id: RequestId,
-    /// What the engine ordered.
+    /// The actions that it caused.
     pub actions: Actions,
 }
 
@@ -171,7 +171,7 @@
         ReceivedRequest { id, actions }
     }
 
-    /// Sends a request that the counter's replies admit; with what the engine ordered after the last reply.
+    /// Sends a request that the counter's replies admit; the actions are those of the last reply.
     ///
     /// # Panics
     /// Panics where the engine does not call the counter.
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -1,7 +1,7 @@
 //! What integration tests of several targets share. Only tests use it.
 //!
 //! For the decision engine: [`engine`] drives one by hand, [`settings`] are the small settings that such tests start from,
-//! and [`actions`] answers what an engine ordered.
+//! and [`actions`] finds actions of an engine.
 //!
 //! For the program: [`limiter`] starts a process beside a [`toy_platform`], with a configuration that [`config`]
 //! changes, and [`commands`] are what a client sends it.
--- a/crates/test-support/src/limiter.rs
+++ b/crates/test-support/src/limiter.rs
@@ -231,7 +231,7 @@
 
 impl Drop for Limiter {
     fn drop(&mut self) {
-        // A process that has ended already is what is wanted, and files that stay behind do not concern the result.
+        // The process may have ended already, and files that stay behind do not concern the result.
         let _ = self.child.kill();
         let _ = self.child.wait();
         let _ = std::fs::remove_dir_all(&self.folder);
--- a/tests/compatibility/main.rs
+++ b/tests/compatibility/main.rs
@@ -13,7 +13,7 @@
 
 const STATE: &str = include_str!("data/state.json");
 
-/// A host that an earlier process's state file tells to be under maintenance gets nothing until it is enabled.
+/// A host that an earlier process's state file puts into maintenance gets no request until it is enabled.
 #[test]
 fn maintenance_in_a_stored_state_file_holds() {
     let limiter = limiter_setup(203).start();
--- a/tests/export/main.rs
+++ b/tests/export/main.rs
@@ -81,7 +81,7 @@
 }
 
 impl Reported {
-    /// Whether the hosts' own figure lies between what is certain and that with what is uncertain.
+    /// Whether the hosts' own figure lies between the certain units and the sum of certain and uncertain ones.
     fn admits(&self, executed_milliunits: u64) -> bool {
         let most = self.executed_milliunits + self.uncertain_milliunits;
         (self.executed_milliunits..=most).contains(&executed_milliunits)
--- a/tests/export/scenario.rs
+++ b/tests/export/scenario.rs
@@ -16,7 +16,7 @@
 const CLIENT_TIMEOUT_MS: u64 = 1_500;
 /// When each limiter is killed and started again.
 const RESTARTS_MS: [u64; LIMITERS] = [2_000, 2_400, 2_800];
-/// The pause before the last request is long enough to export what is left.
+/// The pause before the last request is long enough to export all records.
 const LAST_REQUEST_MS: u64 = 7_500;
 const END_MS: u64 = 9_000;
 
--- a/tests/golden/admin.rs
+++ b/tests/golden/admin.rs
@@ -74,7 +74,7 @@
     assert_golden("wire-admin-408.txt", &record("half a head", &response));
 }
 
-/// A host cannot be told to be unknown before discovery has answered.
+/// Before discovery has answered, no host is known to be unknown.
 #[test]
 fn a_call_on_a_host_before_the_first_list_gets_503() {
     let silent = TcpListener::bind("127.0.0.1:0").expect("a port is free");
--- a/tests/golden/configuration.rs
+++ b/tests/golden/configuration.rs
@@ -1,5 +1,5 @@
 //! The keys of the platform's configuration and of our own file: what a key that is missing, unknown or of a wrong
-//! type leads to, as `quartzcleat check` tells it.
+//! type leads to, as `quartzcleat check` reports it.
 
 use crate::{assert_golden, LIMITER};
 use serde_json::{json, Value};
@@ -97,7 +97,7 @@
     };
 }
 
-/// What `check` tells of a file: its exit code and text, in which the file's path is masked.
+/// The report of `check` on a file: its exit code and text, in which the file's path is masked.
 fn check(name: &str, text: &str, own: bool, variables: &[(&str, &str)]) -> String {
     let path: PathBuf = std::env::temp_dir().join(format!("golden-{}-{name}", std::process::id()));
     std::fs::write(&path, text).expect("the file is written");
--- a/tests/golden/recorder.rs
+++ b/tests/golden/recorder.rs
@@ -65,7 +65,7 @@
             let bytes: Vec<u8> = input.drain(..length).collect();
             let message = String::from_utf8(bytes).expect("the message is text");
             let reply = answer(&message);
-            // The test has ended where nobody listens to its service any more.
+            // Without a receiver the test has ended.
             if received.send(message).is_err() {
                 return;
             }
--- a/tests/golden/rejections.rs
+++ b/tests/golden/rejections.rs
@@ -8,7 +8,7 @@
 };
 use std::net::TcpStream;
 
-/// Sends commands in one write, and returns what was sent with the answers.
+/// Sends commands in one write, and returns them with their answers.
 fn exchange(client: &mut TcpStream, commands: &str, answers: usize) -> String {
     let received = send(client, commands, answers);
     format!(
--- a/tests/operations/hot_restart.rs
+++ b/tests/operations/hot_restart.rs
@@ -180,7 +180,7 @@
 
 impl Drop for TwoProcesses {
     fn drop(&mut self) {
-        // A process that has ended already is what is wanted.
+        // The process may have ended already.
         let _ = self.first.kill();
         let _ = self.first.wait();
     }
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -18,7 +18,7 @@
         .quickcheck(property);
 }
 
-/// A message is "more must come" at every cut, and is read whole without what follows it.
+/// A message is incomplete at every cut, and is read without the bytes behind it.
 fn whole<T>(message: &[u8], parse: impl Fn(&[u8]) -> Option<(T, usize)>) -> Option<T> {
     let early = (0..message.len()).any(|cut| parse(&message[..cut]).is_some());
     let (read, length) = parse(&[message, b"*1"].concat())?;
--- a/tests/rules/queueing.rs
+++ b/tests/rules/queueing.rs
@@ -78,7 +78,7 @@
     assert_eq!(harness.request(IDEMPOTENT, 5, 4.0).actions.attempt(), None);
 }
 
-/// Only this limiter's share of what has refilled is sent, 10 units a second.
+/// Only this limiter's share of the refill is sent, 10 units a second.
 #[test]
 fn ceiling_holds_without_counter() {
     let mut harness = harness_with_ceiling();
