--- a/crates/bench/src/deployments/baseline.rs
+++ b/crates/bench/src/deployments/baseline.rs
@@ -1,7 +1,7 @@
 //! The omniscient baseline of a deployment: one queue that knows the global state, with exact quotas and with hosts as they
 //! are and will be.
 
-use super::quota::{priority_weight, ExactQuotas, Subscription};
+use super::quota::{priority_weight, Charge, ExactQuotas, Subscription};
 use quartzcleat_decision::api::{ClassIndex, Nanos, Settings};
 use quartzcleat_invariants::HostIndex;
 use quartzcleat_simulation::scenario::{ClientRequest, Scenario, ScenarioEvent};
@@ -16,7 +16,7 @@
 #[derive(Clone, Copy)]
 struct TimedRequest<'a> {
     at: Nanos,
-    ask: &'a ClientRequest,
+    request: &'a ClientRequest,
 }
 
 /// A time during which a host runs at one speed.
@@ -44,9 +44,9 @@
         .steps
         .iter()
         .filter_map(|step| match &step.event {
-            ScenarioEvent::Request(ask) => Some(TimedRequest {
+            ScenarioEvent::Request(request) => Some(TimedRequest {
                 at: step.moments[0],
-                ask,
+                request,
             }),
             _ => None,
         })
@@ -56,22 +56,22 @@
         .map(|threshold| {
             let chosen = requests
                 .iter()
-                .filter(|request| weight_per_work(scenario, request.ask) >= *threshold);
+                .filter(|timed| weight_per_work(scenario, timed.request) >= *threshold);
             Schedule::new(scenario).serve(chosen)
         })
         .fold(0.0, f64::max)
 }
 
-fn weight_per_work(scenario: &Scenario, ask: &ClientRequest) -> f64 {
-    priority_weight(&scenario.ground_truth, ask.class, ask.plan, 0)
-        / scenario.work[ask.class.as_usize()] as f64
+fn weight_per_work(scenario: &Scenario, request: &ClientRequest) -> f64 {
+    priority_weight(&scenario.ground_truth, request.class, request.plan, 0)
+        / scenario.work[request.class.as_usize()] as f64
 }
 
 /// Zero and the quantiles of weight per work.
 fn thresholds(scenario: &Scenario, requests: &[TimedRequest]) -> Vec<f64> {
     let mut weights: Vec<f64> = requests
         .iter()
-        .map(|request| weight_per_work(scenario, request.ask))
+        .map(|timed| weight_per_work(scenario, timed.request))
         .collect();
     weights.sort_by(f64::total_cmp);
     let quantile = |part: usize| {
@@ -166,26 +166,27 @@
     }
 
     /// Serves a request where that is worth it; returns its value.
-    fn serve_request(&mut self, request: &TimedRequest) -> f64 {
-        let TimedRequest { at, ask } = *request;
-        let Some(placement) = self.first_to_finish(at, ask.class) else {
+    fn serve_request(&mut self, timed: &TimedRequest) -> f64 {
+        let TimedRequest { at, request } = *timed;
+        let Some(placement) = self.first_to_finish(at, request.class) else {
             return 0.0;
         };
         let elapsed = placement.end - at;
-        let weight = priority_weight(self.settings, ask.class, ask.plan, elapsed);
-        if elapsed > ask.timeout || weight <= 0.0 {
+        let weight = priority_weight(self.settings, request.class, request.plan, elapsed);
+        if elapsed > request.timeout || weight <= 0.0 {
             return 0.0;
         }
         let subscription = Subscription {
-            customer: ask.partner,
-            plan: ask.plan,
+            customer: request.partner,
+            plan: request.plan,
         };
-        let plan = &self.settings.plans[ask.plan.as_usize()];
-        let within_quota = self.quotas.take(self.settings, subscription, ask.units, at);
-        let quota_factor = if within_quota {
-            1.0
-        } else {
-            plan.over_quota_weight - plan.over_quota_cost
+        let plan = &self.settings.plans[request.plan.as_usize()];
+        let charge = self
+            .quotas
+            .charge(self.settings, subscription, request.units, at);
+        let quota_factor = match charge {
+            Charge::WithinQuota => 1.0,
+            Charge::BeyondQuota => plan.over_quota_weight - plan.over_quota_cost,
         };
         if quota_factor <= 0.0 {
             return 0.0;
--- a/crates/bench/src/deployments/baseline/tests.rs
+++ b/crates/bench/src/deployments/baseline/tests.rs
@@ -11,10 +11,10 @@
             .steps
             .iter()
             .filter_map(|step| match &step.event {
-                ScenarioEvent::Request(ask) => Some(priority_weight(
+                ScenarioEvent::Request(request) => Some(priority_weight(
                     &scenario.ground_truth,
-                    ask.class,
-                    ask.plan,
+                    request.class,
+                    request.plan,
                     0,
                 )),
                 _ => None,
--- a/crates/bench/src/deployments/judge.rs
+++ b/crates/bench/src/deployments/judge.rs
@@ -2,7 +2,7 @@
 
 use super::baseline::served_value;
 use super::generate::{generate, Deployment};
-use super::quota::{priority_weight, ExactQuotas, Subscription};
+use super::quota::{priority_weight, Charge, ExactQuotas, Subscription};
 use quartzcleat_decision::api::{AttemptIndex, ClassIndex, Nanos, PlanIndex, RequestId, Settings};
 use quartzcleat_invariants::{check, Answer, Fact, InvariantLimits, PartnerIndex, Record};
 use quartzcleat_simulation::scenario::{ScenarioEvent, Step};
@@ -78,7 +78,7 @@
     begun: Nanos,
     class: ClassIndex,
     plan: PlanIndex,
-    requested_within_quota: bool,
+    request_charge: Charge,
     attempted: bool,
     served: bool,
 }
@@ -88,8 +88,8 @@
     operation: u64,
     customer: PartnerIndex,
     units: f64,
-    /// Whether its first attempt was within the customer's quota; none before that.
-    attempted_within_quota: Option<bool>,
+    /// The charge of its first attempt to the customer's quota; none before that.
+    attempt_charge: Option<Charge>,
 }
 
 /// Adds up values from the records of a simulation.
@@ -139,7 +139,7 @@
                     operation,
                     customer: partner,
                     units,
-                    attempted_within_quota: None,
+                    attempt_charge: None,
                 };
                 self.add_operation(&state, class, record.at);
                 self.requests.insert(request, state);
@@ -171,16 +171,16 @@
             customer: request.customer,
             plan,
         };
-        let within_quota = self
+        let request_charge = self
             .requested
-            .take(self.settings, subscription, request.units, now);
+            .charge(self.settings, subscription, request.units, now);
         self.operations.insert(
             request.operation,
             Operation {
                 begun: now,
                 class,
                 plan,
-                requested_within_quota: within_quota,
+                request_charge,
                 attempted: false,
                 served: false,
             },
@@ -200,11 +200,11 @@
             customer: request.customer,
             plan: operation.plan,
         };
-        let within_quota = self
+        let attempt_charge = self
             .attempted
-            .take(self.settings, subscription, request.units, now);
-        request.attempted_within_quota = Some(within_quota);
-        if !within_quota {
+            .charge(self.settings, subscription, request.units, now);
+        request.attempt_charge = Some(attempt_charge);
+        if attempt_charge == Charge::BeyondQuota {
             let plan = &self.settings.plans[operation.plan.as_usize()];
             let weight = priority_weight(self.settings, operation.class, operation.plan, 0);
             self.beyond_quotas += weight * plan.over_quota_cost;
@@ -225,19 +225,19 @@
         operation.served = true;
         let elapsed = now - operation.begun;
         let weight = priority_weight(self.settings, operation.class, operation.plan, elapsed);
-        let quota_factor = if request.attempted_within_quota.unwrap_or(true) {
-            1.0
-        } else {
-            self.settings.plans[operation.plan.as_usize()].over_quota_weight
+        let quota_factor = match request.attempt_charge {
+            Some(Charge::BeyondQuota) => {
+                self.settings.plans[operation.plan.as_usize()].over_quota_weight
+            }
+            Some(Charge::WithinQuota) | None => 1.0,
         };
         self.served += weight * quota_factor;
     }
 
     fn value(&self) -> Value {
-        let rejected = self
-            .operations
-            .values()
-            .filter(|operation| operation.requested_within_quota && !operation.attempted);
+        let rejected = self.operations.values().filter(|operation| {
+            operation.request_charge == Charge::WithinQuota && !operation.attempted
+        });
         let weight = |operation: &Operation| {
             priority_weight(self.settings, operation.class, operation.plan, 0)
         };
--- a/crates/bench/src/deployments/quota.rs
+++ b/crates/bench/src/deployments/quota.rs
@@ -19,6 +19,15 @@
     pub plan: PlanIndex,
 }
 
+/// Whether units were charged to a quota.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Charge {
+    /// They were.
+    WithinQuota,
+    /// The quota does not hold them, and stays as it is.
+    BeyondQuota,
+}
+
 /// The exact quota of one customer.
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
@@ -31,14 +40,14 @@
 pub struct ExactQuotas(BTreeMap<PartnerIndex, Bucket>);
 
 impl ExactQuotas {
-    /// Takes units out of a customer's quota at a time; false where it does not hold them.
-    pub fn take(
+    /// Charges units to a customer's quota at a time, if it holds them.
+    pub fn charge(
         &mut self,
         settings: &Settings,
         subscription: Subscription,
         units: f64,
         now: Nanos,
-    ) -> bool {
+    ) -> Charge {
         let plan = &settings.plans[subscription.plan.as_usize()];
         let bucket = self.0.entry(subscription.customer).or_insert(Bucket {
             units: plan.burst,
@@ -47,11 +56,11 @@
         let refilled = plan.rate * (now - bucket.refilled_at) as f64 / 1e9;
         bucket.units = (bucket.units + refilled).min(plan.burst);
         bucket.refilled_at = now;
-        let has_units = bucket.units >= units - UNITS_TOLERANCE;
-        if has_units {
-            bucket.units -= units;
+        if bucket.units < units - UNITS_TOLERANCE {
+            return Charge::BeyondQuota;
         }
-        has_units
+        bucket.units -= units;
+        Charge::WithinQuota
     }
 }
 
--- a/crates/bench/src/deployments/quota/tests.rs
+++ b/crates/bench/src/deployments/quota/tests.rs
@@ -1,5 +1,6 @@
 //! Exact quotas.
 
+use super::Charge::{BeyondQuota, WithinQuota};
 use super::*;
 use quartzcleat_decision::api::Plan;
 
@@ -18,15 +19,28 @@
         plan: PlanIndex(0),
     };
     let mut quotas = ExactQuotas::default();
-    let granted: Vec<bool> = (0..8)
+    let charges: Vec<Charge> = (0..8)
         .map(|quarter| {
             let now = 1_000_000_000 + quarter * 250_000_000;
-            quotas.take(&settings, subscription(0), 1.0, now)
+            quotas.charge(&settings, subscription(0), 1.0, now)
         })
         .collect();
-    assert_eq!(granted, [true, true, true, true, true, false, true, false]);
-    assert!(
-        quotas.take(&settings, subscription(1), 3.0, 0),
+    assert_eq!(
+        charges,
+        [
+            WithinQuota,
+            WithinQuota,
+            WithinQuota,
+            WithinQuota,
+            WithinQuota,
+            BeyondQuota,
+            WithinQuota,
+            BeyondQuota
+        ]
+    );
+    assert_eq!(
+        quotas.charge(&settings, subscription(1), 3.0, 0),
+        WithinQuota,
         "another customer's quota is full"
     );
 }
--- a/crates/bench/src/trial/plot.rs
+++ b/crates/bench/src/trial/plot.rs
@@ -2,7 +2,10 @@
 //! over their time.
 
 use plotters::coord::types::RangedCoordf64;
-use plotters::prelude::*;
+use plotters::prelude::{
+    Cartesian2d, ChartBuilder, ChartContext, Color, IntoDrawingArea, IntoFont, RGBColor, Rectangle,
+    SVGBackend, Text, GREEN, RED, WHITE,
+};
 use quartzcleat_decision::api::LimiterIndex;
 use quartzcleat_fault_injection::scenario::FaultKind;
 use quartzcleat_fault_injection::target::Action;
--- a/crates/fakes/src/recorder.rs
+++ b/crates/fakes/src/recorder.rs
@@ -22,13 +22,24 @@
 impl Recorder {
     /// Records an event. The end of an attempt is recorded once, whoever observes it first.
     pub(crate) fn record(&mut self, at: Nanos, event: Fact) {
-        if self.track_attempt(&event) {
+        if !self.is_repeated_end(&event) {
+            self.track_attempt(&event);
             self.records.push(Record { at, fact: event });
         }
     }
 
-    /// Follows attempts by their events; false where the event repeats an end.
-    fn track_attempt(&mut self, event: &Fact) -> bool {
+    /// Whether an event is the end of an attempt that has ended already.
+    fn is_repeated_end(&self, event: &Fact) -> bool {
+        match *event {
+            Fact::AttemptEnded {
+                request, attempt, ..
+            } => !self.in_flight.contains_key(&AttemptId { request, attempt }),
+            _ => false,
+        }
+    }
+
+    /// Follows the attempts in flight.
+    fn track_attempt(&mut self, event: &Fact) {
         match *event {
             Fact::AttemptSent {
                 request,
@@ -37,15 +48,13 @@
                 ..
             } => {
                 self.in_flight.insert(AttemptId { request, attempt }, host);
-                true
             }
             Fact::AttemptEnded {
                 request, attempt, ..
             } => {
-                let attempt = AttemptId { request, attempt };
-                self.in_flight.remove(&attempt).is_some()
+                self.in_flight.remove(&AttemptId { request, attempt });
             }
-            _ => true,
+            _ => {}
         }
     }
 
--- a/tests/codec.rs
+++ b/tests/codec.rs
@@ -100,7 +100,7 @@
 
 #[test]
 fn actions_are_written_as_the_wire_has_them() {
-    use quartzcleat::api::*;
+    use quartzcleat::api::{Action, AttemptIndex, HostId, LogEvent, Peers, RequestId};
     let mut out = String::new();
     let (id, host) = (RequestId(0x218516d35d3a91c4), HostId(51530247));
     for action in [
--- a/tests/expect_live.rs
+++ b/tests/expect_live.rs
@@ -1,4 +1,4 @@
-//! A part of the expectations on loopback: real limiters before stand-ins come to the world's verdicts.
+//! A part of the expectations on loopback: real limiters with the fakes come to the verdicts of the simulation.
 
 use std::process::Command;
 
@@ -28,7 +28,7 @@
 
 /// A drain through a late list, a counter that loses calls, and keys through broken connections.
 #[test]
-fn live_limiters_do_what_the_world_says() {
+fn live_limiters_do_what_the_simulation_says() {
     for (only, plays) in [
         ("a drain told while a counter call is out", 3),
         ("a bed-hold that may have run is run once", 3),
@@ -36,8 +36,8 @@
         ("a limiter that starts again keeps off", 1),
         ("a node replaced at its address gets requests", 2),
     ] {
-        let told = live(only);
-        let compared = told["compared"].as_array().expect("a list");
+        let report = live(only);
+        let compared = report["compared"].as_array().expect("a list");
         assert_eq!(compared.len(), plays, "{only}");
         for one in compared {
             assert!(one["live"]["asked"].as_u64() > Some(0), "{one}");
--- a/tests/golden/configuration.rs
+++ b/tests/golden/configuration.rs
@@ -123,14 +123,15 @@
     };
     let output = command.output().expect("the limiter runs");
     std::fs::remove_file(&path).expect("the file is removed");
-    let told = String::from_utf8_lossy(&output.stdout).replace(&path.display().to_string(), "FILE");
-    format!("{:?} {}", output.status.code(), told.trim_end())
+    let report =
+        String::from_utf8_lossy(&output.stdout).replace(&path.display().to_string(), "FILE");
+    format!("{:?} {}", output.status.code(), report.trim_end())
 }
 
 #[test]
 fn every_key_of_the_platform_is_read_by_its_name() {
     let example: Value = serde_json::from_str(EXAMPLE).expect("JSON");
-    let mut told = String::new();
+    let mut reports = String::new();
     for (number, key) in KEYS.iter().enumerate() {
         for value in [
             None,
@@ -143,15 +144,15 @@
             change(&mut file, key, value.clone());
             let name = format!("platform-{number}.json");
             let answer = check(&name, &file.to_string(), false, &[]);
-            writeln!(told, "{key} = {value:?} => {answer}").expect("text");
+            writeln!(reports, "{key} = {value:?} => {answer}").expect("text");
         }
     }
-    assert_golden("messages-platform-keys.txt", &told);
+    assert_golden("messages-platform-keys.txt", &reports);
 }
 
 #[test]
 fn every_variable_is_read_by_its_name() {
-    let mut told = String::new();
+    let mut reports = String::new();
     for name in ["NAME", "LISTEN", "DISCOVERY", "COUNTER", "CONSOLE"] {
         let variable = format!("BALANCER_{name}");
         let answer = check(
@@ -160,9 +161,9 @@
             false,
             &[(&variable, "x")],
         );
-        writeln!(told, "{variable} = x => {answer}").expect("text");
+        writeln!(reports, "{variable} = x => {answer}").expect("text");
     }
-    assert_golden("messages-variables.txt", &told);
+    assert_golden("messages-variables.txt", &reports);
 }
 
 const LEASE: &str = "tally: 1s
@@ -189,7 +190,7 @@
 #[test]
 fn every_key_of_our_own_file_is_read_and_its_neighbour_is_not() {
     let whole = format!("{OWN}{LEASE}");
-    let mut told = format!("whole => {}\n", check("own.yaml", &whole, true, &[]));
+    let mut reports = format!("whole => {}\n", check("own.yaml", &whole, true, &[]));
     for key in OWN_KEYS {
         // The first place where the word is a key: at a line's start, or behind a brace, a dash or a comma.
         let places = ["\n", "\n  ", "\n    ", "{", ", ", "- {", "- "]
@@ -200,11 +201,11 @@
             .expect("a key");
         let text = whole.replacen(found.as_str(), &format!("{before}{key}x:"), 1);
         writeln!(
-            told,
+            reports,
             "{key}x => {}",
             check(&format!("own-{key}.yaml"), &text, true, &[])
         )
         .expect("text");
     }
-    assert_golden("messages-own-keys.txt", &told);
+    assert_golden("messages-own-keys.txt", &reports);
 }
