--- a/tests/golden/start_errors.rs
+++ b/tests/golden/start_errors.rs
@@ -1,9 +1,10 @@
 //! What the limiter writes to standard error, and its exit code, where it cannot start.
 
 use crate::{assert_golden, LIMITER};
+use quartzcleat_fakes::process::limiter_command;
 use std::net::TcpListener;
 use std::path::{Path, PathBuf};
-use std::process::Command;
+use std::process::{Command, Stdio};
 
 const EXAMPLE: &str = include_str!("../../examples/toy.json");
 
@@ -33,18 +34,11 @@
 
 /// A limiter that reads no configuration of the surroundings.
 fn limiter() -> Command {
-    let mut command = Command::new(LIMITER);
-    for variable in [
-        "BALANCER_CONFIG",
-        "BALANCER_NAME",
-        "BALANCER_LISTEN",
-        "BALANCER_DISCOVERY",
-        "BALANCER_COUNTER",
-        "BALANCER_CONSOLE",
-        "QUARTZCLEAT_CONFIG",
-    ] {
-        command.env_remove(variable);
-    }
+    let mut command = limiter_command(Path::new(LIMITER), Path::new(""));
+    command
+        .env_remove("BALANCER_CONFIG")
+        .stdout(Stdio::piped())
+        .stderr(Stdio::piped());
     command
 }
 
