--- a/crates/bench/src/deployments/generate/tests.rs
+++ b/crates/bench/src/deployments/generate/tests.rs
@@ -8,11 +8,19 @@
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=40;
 
 #[test]
-fn seed_generates_one_deployment_and_others_differ() {
+fn seed_generates_one_deployment() {
     let descriptions = || -> Vec<String> { SEEDS.map(|seed| generate(seed).description).collect() };
     assert_eq!(descriptions(), descriptions());
+}
+
+#[test]
+fn seeds_generate_different_incidents() {
     let incidents: BTreeSet<_> = SEEDS.map(|seed| generate(seed).incident.name()).collect();
     assert!(incidents.len() >= 8, "{incidents:?}");
+}
+
+#[test]
+fn deployments_have_requests_and_begin_with_ready_hosts() {
     for seed in SEEDS {
         let scenario = generate(seed).scenario;
         let is_request = |step: &&Step| matches!(step.event, ScenarioEvent::Request(_));
--- a/crates/bench/src/trial/report/tests.rs
+++ b/crates/bench/src/trial/report/tests.rs
@@ -2,10 +2,8 @@
 
 use super::*;
 
-#[test]
-fn failing_seed_is_reported_with_its_history_and_its_command_in_each_format() {
-    let text = "limiters: 3\nvoters: 3\nend: 2s\n";
-    let scenario = Scenario::read("s.yaml", text).expect("the scenario is valid");
+/// A valid seed and one that fails.
+fn rows() -> [Row; 2] {
     let valid = Row {
         seed: 1,
         changes: 2,
@@ -18,14 +16,24 @@
         finding: "an old token was let in\n".into(),
         ..Row::default()
     };
-    let rows = [valid, failing];
-    let report = SeriesReport {
+    [valid, failing]
+}
+
+/// Writes the report of the series in one format.
+fn write_report<T>(write: impl Fn(&SeriesReport<'_>) -> T) -> T {
+    let text = "limiters: 3\nvoters: 3\nend: 2s\n";
+    let scenario = Scenario::read("s.yaml", text).expect("the scenario is valid");
+    write(&SeriesReport {
         file: "s.yaml",
         scenario: &scenario,
-        rows: &rows,
+        rows: &rows(),
         elapsed: Duration::from_secs(1),
-    };
-    let text = report.text().expect("a text");
+    })
+}
+
+#[test]
+fn text_names_totals_the_finding_and_the_command_of_the_failing_seed() {
+    let text = write_report(|report| report.text()).expect("a text");
     for part in [
         "old tokens let in 1",
         "p50 1, p90 3",
@@ -34,17 +42,20 @@
     ] {
         assert!(text.contains(part), "{part}\nnot in\n{text}");
     }
-    let json = report.json().expect("a text");
+}
+
+#[test]
+fn json_has_totals_and_rows() {
+    let json = write_report(|report| report.json()).expect("a text");
     let json: serde_json::Value = serde_json::from_str(&json).expect("JSON");
-    assert_eq!(
-        (
-            &json["holds"],
-            &json["old_tokens"],
-            &json["rows"][1]["seed"]
-        ),
-        (&json!(false), &json!(1), &json!(2))
-    );
-    let junit = report.junit();
+    assert_eq!(json["holds"], false);
+    assert_eq!(json["old_tokens"], 1);
+    assert_eq!(json["rows"][1]["seed"], 2);
+}
+
+#[test]
+fn junit_counts_failures_and_has_the_command_of_the_failing_seed() {
+    let junit = write_report(|report| report.junit());
     assert!(
         junit.contains("tests=\"2\" failures=\"1\"") && junit.contains("--seeds 2..2"),
         "{junit}"
--- a/crates/fakes/src/resp/tests.rs
+++ b/crates/fakes/src/resp/tests.rs
@@ -2,22 +2,32 @@
 
 use super::*;
 
+const ARGUMENTS: [&str; 4] = ["Q.DO", "7", "", "c=x,d=5"];
+
 #[test]
-fn encoded_commands_are_parsed_and_incomplete_ones_awaited() {
-    let bytes = encode_command(&["Q.DO", "7", "", "c=x,d=5"]);
-    let arguments = vec!["Q.DO".into(), "7".into(), "".into(), "c=x,d=5".into()];
+fn encoded_command_is_parsed() {
+    let bytes = encode_command(&ARGUMENTS);
     assert_eq!(
         parse_command(&bytes).expect("the command is valid"),
         Some(Parsed {
-            value: arguments,
+            value: ARGUMENTS.map(String::from).to_vec(),
             length: bytes.len()
         })
     );
+}
+
+#[test]
+fn incomplete_command_is_awaited() {
+    let bytes = encode_command(&ARGUMENTS);
     assert!((0..bytes.len()).all(|cut| {
         parse_command(&bytes[..cut])
             .expect("a cut command is not malformed")
             .is_none()
     }));
+}
+
+#[test]
+fn value_is_parsed_without_the_bytes_behind_it() {
     assert_eq!(
         parse_reply(b"$2\r\nab\r\n+").expect("the reply is valid"),
         Some(Parsed {
@@ -25,6 +35,10 @@
             length: 8
         })
     );
+}
+
+#[test]
+fn error_line_is_parsed() {
     assert_eq!(
         parse_reply(b"-BUSY 5\r\n").expect("the reply is valid"),
         Some(Parsed {
@@ -32,9 +46,11 @@
             length: 9
         })
     );
-    assert!(
-        parse_command(b"*-1\r\n").is_err()
-            && parse_command(b"$1\r\n").is_err()
-            && parse_reply(b"*1\r\n").is_err()
-    );
+}
+
+#[test]
+fn malformed_commands_and_replies_are_errors() {
+    assert!(parse_command(b"*-1\r\n").is_err());
+    assert!(parse_command(b"$1\r\n").is_err());
+    assert!(parse_reply(b"*1\r\n").is_err());
 }
--- a/crates/simulation/src/limiter/tests.rs
+++ b/crates/simulation/src/limiter/tests.rs
@@ -46,40 +46,61 @@
     );
 }
 
-#[test]
-fn attempts_keep_to_cap_and_deadline() {
+const REQUEST: RequestId = RequestId(1);
+const DEADLINE: Nanos = 100;
+const MAX_ATTEMPTS: u32 = 2;
+
+/// A limiter with one open request.
+fn limiter_with_request() -> Limiter {
     let mut limiter = Limiter::new(Settings::default(), 1, 0, 0);
-    let request = RequestId(1);
     limiter.open_requests.insert(
-        request,
+        REQUEST,
         OpenRequest {
             class: ClassIndex(0),
             operation: 1,
-            deadline: 100,
+            deadline: DEADLINE,
             attempts: 0,
         },
     );
-    let started = limiter
-        .start_attempt(request, HostIndex(0), 5, 2)
-        .map(|started| started.attempt);
-    assert_eq!(started, Ok(AttemptIndex(0)));
-    let mut not_allowed = |request, now| limiter.start_attempt(request, HostIndex(0), now, 2);
-    assert_eq!(
-        not_allowed(request, 100),
-        Err(AttemptNotAllowed {
-            attempt: AttemptIndex(1)
-        })
-    );
-    assert_eq!(
-        not_allowed(request, 5),
-        Err(AttemptNotAllowed {
-            attempt: AttemptIndex(2)
-        })
-    );
+    limiter
+}
+
+fn start_attempt(
+    limiter: &mut Limiter,
+    request: RequestId,
+    now: Nanos,
+) -> Result<AttemptIndex, AttemptNotAllowed> {
+    let started = limiter.start_attempt(request, HostIndex(0), now, MAX_ATTEMPTS);
+    started.map(|started| started.attempt)
+}
+
+fn not_allowed(attempt: u32) -> Result<AttemptIndex, AttemptNotAllowed> {
+    Err(AttemptNotAllowed {
+        attempt: AttemptIndex(attempt),
+    })
+}
+
+#[test]
+fn attempts_are_counted_up_to_the_cap() {
+    let mut limiter = limiter_with_request();
+    assert_eq!(start_attempt(&mut limiter, REQUEST, 5), Ok(AttemptIndex(0)));
+    assert_eq!(start_attempt(&mut limiter, REQUEST, 5), Ok(AttemptIndex(1)));
+    assert_eq!(start_attempt(&mut limiter, REQUEST, 5), not_allowed(2));
+}
+
+#[test]
+fn no_attempt_starts_at_the_deadline_but_it_counts() {
+    let mut limiter = limiter_with_request();
+    assert_eq!(start_attempt(&mut limiter, REQUEST, 5), Ok(AttemptIndex(0)));
     assert_eq!(
-        not_allowed(RequestId(2), 5),
-        Err(AttemptNotAllowed {
-            attempt: AttemptIndex(0)
-        })
+        start_attempt(&mut limiter, REQUEST, DEADLINE),
+        not_allowed(1)
     );
+    assert_eq!(start_attempt(&mut limiter, REQUEST, 5), not_allowed(2));
+}
+
+#[test]
+fn unknown_request_has_no_attempt() {
+    let mut limiter = limiter_with_request();
+    assert_eq!(start_attempt(&mut limiter, RequestId(2), 5), not_allowed(0));
 }
