--- a/crates/test-support/src/limiter.rs
+++ b/crates/test-support/src/limiter.rs
@@ -231,7 +231,7 @@
 
 impl Drop for Limiter {
     fn drop(&mut self) {
-        // A process that has ended already is what is wanted, and files that stay behind do not concern the result.
+        // The process may have ended already, and files that stay behind do not concern the result.
         let _ = self.child.kill();
         let _ = self.child.wait();
         let _ = std::fs::remove_dir_all(&self.folder);
@@ -265,6 +265,15 @@
         }
     }
 
+    /// The answer to one command on a connection of its own.
+    ///
+    /// # Panics
+    /// Panics where the connection fails.
+    #[must_use]
+    pub fn answer(&self, command: &str) -> String {
+        send(&mut self.connect(), command, 1)
+    }
+
     /// Connects, and sends a request that no host answers; by the return of this function the limiter has read it.
     ///
     /// # Panics
