--- a/crates/config/src/deployment/names.rs
+++ b/crates/config/src/deployment/names.rs
@@ -240,12 +240,11 @@
     object: &T,
     key_prefix: &str,
 ) -> Result<SettingValue, UnknownPart> {
-    match fields.iter().find(|field| field.name == name) {
-        Some(field) => Ok(field.read(object, key_prefix)),
-        None => {
-            let known: Vec<_> = fields.iter().map(|field| field.name).collect();
-            Err(UnknownPart::new(name, &known))
-        }
+    if let Some(field) = fields.iter().find(|field| field.name == name) {
+        Ok(field.read(object, key_prefix))
+    } else {
+        let known: Vec<_> = fields.iter().map(|field| field.name).collect();
+        Err(UnknownPart::new(name, &known))
     }
 }
 
--- a/crates/config/src/lease/section.rs
+++ b/crates/config/src/lease/section.rs
@@ -9,6 +9,7 @@
 use crate::reader::{list, text, Alias, Reader};
 use crate::tree::Node;
 use std::collections::BTreeMap;
+use std::fmt::Display;
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
 use std::sync::Arc;
@@ -125,8 +126,8 @@
 }
 
 impl Check<'_, '_> {
-    fn add(&mut self, key: &str, problem: LeaseConfigError) {
-        self.reader.fault(key, problem.to_string(), self.faults);
+    fn add(&mut self, key: &str, problem: impl Display) {
+        self.reader.fault(key, problem, self.faults);
     }
 
     fn timing(&mut self, section: &Section) {
--- a/crates/config/src/platform/encode.rs
+++ b/crates/config/src/platform/encode.rs
@@ -4,8 +4,8 @@
 use quartzcleat_decision::api::{Class, Plan, Settings};
 use serde_json::{json, Value};
 
-/// Writes settings as the platform's nested JSON, the inverse of [`flatten`](super::flatten) and
-/// [`decode`](super::decode).
+/// Writes settings as the platform's nested JSON, the inverse of [`flatten`](super::flatten()) and
+/// [`decode`](super::decode()).
 #[must_use]
 pub fn encode(settings: &Settings, zone_names: &[String]) -> Value {
     json!({
--- a/crates/config/src/platform/keys.rs
+++ b/crates/config/src/platform/keys.rs
@@ -144,12 +144,13 @@
 fn pattern_of(path: &str) -> String {
     let parts: Vec<&str> = path
         .split('.')
-        .map(
-            |part| match part.bytes().all(|byte| byte.is_ascii_digit()) {
-                true => "N",
-                false => part,
-            },
-        )
+        .map(|part| {
+            if part.bytes().all(|byte| byte.is_ascii_digit()) {
+                "N"
+            } else {
+                part
+            }
+        })
         .collect();
     parts.join(".")
 }
--- a/crates/config/src/reader.rs
+++ b/crates/config/src/reader.rs
@@ -196,12 +196,11 @@
 /// # Errors
 /// The table does not have the keyword.
 pub fn one_of<T: Copy>(keyword: &str, keywords: &[(&str, T)]) -> Result<T, ValueError> {
-    match keywords.iter().find(|(known, _)| *known == keyword) {
-        Some((_, value)) => Ok(*value),
-        None => {
-            let accepted: Vec<_> = keywords.iter().map(|(known, _)| *known).collect();
-            Err(ValueError::unknown_keyword(keyword, &accepted))
-        }
+    if let Some((_, value)) = keywords.iter().find(|(known, _)| *known == keyword) {
+        Ok(*value)
+    } else {
+        let accepted: Vec<_> = keywords.iter().map(|(known, _)| *known).collect();
+        Err(ValueError::unknown_keyword(keyword, &accepted))
     }
 }
 
--- a/crates/expectations/src/attribution.rs
+++ b/crates/expectations/src/attribution.rs
@@ -142,7 +142,7 @@
             if changes.len() > 1 && self.has_wanted_verdict(&changes) {
                 let smallest = minimize(changes, &mut |changes| self.has_wanted_verdict(changes));
                 let line = |Change { path, value }: &Change| {
-                    source_line(self.base, path, &show_value(path, value))
+                    source_line(self.base, path, &show_value(path, value.as_ref()))
                 };
                 return Some(smallest.iter().map(line).collect());
             }
@@ -192,8 +192,8 @@
     if !all.is_empty() && search.has_wanted_verdict(&all) {
         let smallest = minimize(all, &mut |changes| search.has_wanted_verdict(changes));
         let line = |Change { path, .. }: &Change| {
-            let old_value = old.tree.at(path).map(|node| node.content.clone());
-            source_line(new, path, &show_value(path, &old_value))
+            let old_value = old.tree.at(path).map(|node| &node.content);
+            source_line(new, path, &show_value(path, old_value))
         };
         line_sets.push(smallest.iter().map(line).collect());
     }
@@ -227,22 +227,17 @@
     path.rsplit_once('.').map(|(section, _)| section)
 }
 
-fn show_value(path: &str, value: &Option<Content>) -> String {
-    value
-        .as_ref()
-        .map_or_else(|| NOT_SET.to_owned(), |value| show(path, value))
+fn show_value(path: &str, value: Option<&Content>) -> String {
+    value.map_or_else(|| NOT_SET.to_owned(), |value| show(path, value))
 }
 
 fn source_line(deployment: &Deployment, path: &str, alternative: &str) -> SourceLine {
-    let value = deployment
-        .tree
-        .at(path)
-        .map_or_else(|| NOT_SET.to_owned(), |node| show(path, &node.content));
+    let value = deployment.tree.at(path).map(|node| &node.content);
     SourceLine {
         file: deployment.file.to_string(),
         line: deployment.line(path),
         key: path.to_owned(),
-        value,
+        value: show_value(path, value),
         alternative: alternative.to_owned(),
     }
 }
--- a/crates/expectations/src/check/tasks.rs
+++ b/crates/expectations/src/check/tasks.rs
@@ -189,15 +189,14 @@
         value: node,
     } in members
     {
-        match range_values(node) {
-            Some(values) => ranges.push(SettingRange {
+        if let Some(values) = range_values(node) {
+            ranges.push(SettingRange {
                 name: name.clone(),
                 values,
-            }),
-            None => {
-                let key = format!("given.range.{name}");
-                faults.add(&expectation.file, *place, key, "not a list of numbers");
-            }
+            });
+        } else {
+            let key = format!("given.range.{name}");
+            faults.add(&expectation.file, *place, key, "not a list of numbers");
         }
     }
     ranges
--- a/crates/expectations/src/compile/given.rs
+++ b/crates/expectations/src/compile/given.rs
@@ -98,12 +98,11 @@
 
     fn set_partner(&mut self, name: &str, partner: Partner) {
         let names = &mut self.processes.partners;
-        match names.iter().position(|known| known == name) {
-            Some(index) => self.partners[index] = partner,
-            None => {
-                names.push(name.to_owned());
-                self.partners.push(partner);
-            }
+        if let Some(index) = names.iter().position(|known| known == name) {
+            self.partners[index] = partner;
+        } else {
+            names.push(name.to_owned());
+            self.partners.push(partner);
         }
     }
 
--- a/crates/expectations/src/explore/oracles.rs
+++ b/crates/expectations/src/explore/oracles.rs
@@ -79,16 +79,15 @@
         fingerprint: &dyn Fn() -> u64,
     ) -> Option<usize> {
         let position = self.taken.len();
-        let choice = match self.prefix.get(position) {
-            Some(choice) => *choice,
-            None => {
-                // The kind of choice belongs to the state: two of them may follow at one moment.
-                let state = || fingerprint() ^ (point as u64).wrapping_mul(CHOICE_POINT_FACTOR);
-                if position < self.depth && self.is_visited(state(), self.depth - position) {
-                    return None;
-                }
-                0
+        let choice = if let Some(choice) = self.prefix.get(position) {
+            *choice
+        } else {
+            // The kind of choice belongs to the state: two of them may follow at one moment.
+            let state = || fingerprint() ^ (point as u64).wrapping_mul(CHOICE_POINT_FACTOR);
+            if position < self.depth && self.is_visited(state(), self.depth - position) {
+                return None;
             }
+            0
         };
         self.taken.push(TakenChoice { choice, options });
         Some(choice)
--- a/crates/expectations/src/history.rs
+++ b/crates/expectations/src/history.rs
@@ -24,6 +24,10 @@
 
 /// The hosts that a limiter knew when it sent an attempt: whether there was one of each kind.
 #[derive(Clone, Copy, Debug)]
+#[expect(
+    clippy::struct_excessive_bools,
+    reason = "four independent facts, no states of one thing"
+)]
 pub(crate) struct KnownHosts {
     pub(crate) has_draining: bool,
     pub(crate) has_gone: bool,
--- a/crates/expectations/src/report.rs
+++ b/crates/expectations/src/report.rs
@@ -1,4 +1,4 @@
-//! Reports of a check: for people, as JSON, or as JUnit XML for build servers.
+//! Reports of a check: for people, as JSON, or as `JUnit` XML for build servers.
 
 mod human;
 mod junit;
--- a/crates/expectations/src/report/junit.rs
+++ b/crates/expectations/src/report/junit.rs
@@ -1,9 +1,9 @@
-//! JUnit XML: a suite for the check, a case for each expectation and deployment.
+//! `JUnit` XML: a suite for the check, a case for each expectation and deployment.
 
 use super::{attribution_lines, verdict_text};
 use crate::check::{CheckReport, ExpectationResult, Verdict};
 
-/// The report as JUnit XML.
+/// The report as `JUnit` XML.
 #[must_use]
 pub fn junit(report: &CheckReport) -> String {
     let faults = report.faults.iter();
@@ -33,7 +33,7 @@
     lines.join("\n") + "\n"
 }
 
-/// One case of a JUnit report. It fails where there is a failure message.
+/// One case of a `JUnit` report. It fails where there is a failure message.
 #[must_use]
 pub fn junit_case(name: &str, class: &str, failure: &str) -> String {
     let name = escape(name);
@@ -47,7 +47,7 @@
     )
 }
 
-/// A JUnit report of cases.
+/// A `JUnit` report of cases.
 #[must_use]
 pub fn junit_suite(name: &str, cases: &[String]) -> String {
     let failures = cases
--- a/crates/expectations/tests/expectations/folder.rs
+++ b/crates/expectations/tests/expectations/folder.rs
@@ -4,14 +4,14 @@
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU32, Ordering};
 
-pub const SETTINGS: &str = include_str!("../../../../deploy/imlil-main.yaml");
+pub(crate) const SETTINGS: &str = include_str!("../../../../deploy/imlil-main.yaml");
 const INSTALLATION: &str = include_str!("../../../../deploy/expectations/installation.yaml");
 
 /// A temporary folder, removed at the end of the test.
-pub struct Folder(PathBuf);
+pub(crate) struct Folder(PathBuf);
 
 impl Folder {
-    pub fn new() -> Self {
+    pub(crate) fn new() -> Self {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let name = format!(
             "quartzcleat-expect-{}-{}",
@@ -25,13 +25,17 @@
         folder
     }
 
-    pub fn write(&self, name: &str, text: &str) -> PathBuf {
+    pub(crate) fn write(&self, name: &str, text: &str) -> PathBuf {
         let path = self.0.join(name);
         std::fs::write(&path, text).expect("a file is written");
         path
     }
 
-    pub fn check(&self, expectations: &str, change: impl FnOnce(&mut Options)) -> CheckReport {
+    pub(crate) fn check(
+        &self,
+        expectations: &str,
+        change: impl FnOnce(&mut Options),
+    ) -> CheckReport {
         let text = format!(
             "settings: day.yaml\ninstallation: installation.yaml\nexpectations:\n{expectations}"
         );
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -1,6 +1,6 @@
 //! Leases for fleet-wide tasks: at most one limiter at a time may act for the whole fleet.
 //!
-//! The protocol is PaxosLease (Trencséni, Gazsó and Reinhardt, 2012). A [`Proposer`] asks a fixed, odd set of
+//! The protocol is `PaxosLease` (Trencséni, Gazsó and Reinhardt, 2012). A [`Proposer`] asks a fixed, odd set of
 //! [`Acceptor`]s, which keep their state in memory only. Every operation of a lease holder carries a [`FencingToken`]
 //! that only grows and that the target checks, and a [`Guard`] refuses to start an operation that may outlive the
 //! lease.
--- a/crates/lease/tests/model_check/initial.rs
+++ b/crates/lease/tests/model_check/initial.rs
@@ -1,7 +1,7 @@
 //! The states that the search begins with.
 
-use crate::model::{Model, CLOCK_ORIGIN, TIMING};
-use crate::state::{ClockRates, Event, InjectedFault, ModelState};
+use crate::model::{Model, TIMING};
+use crate::state::{ClockRates, Event, InjectedFault, ModelState, CLOCK_ORIGIN};
 use quartzcleat_lease::*;
 use std::collections::BTreeSet;
 
@@ -10,7 +10,7 @@
 
 impl Model {
     /// A free lease, and one that the first proposer holds, each with two sets of clocks.
-    pub fn initial_states(&self) -> Vec<ModelState> {
+    pub(crate) fn initial_states(&self) -> Vec<ModelState> {
         let free = self.free_lease_states();
         let held = free.clone().map(|state| self.acquire_by_first(state));
         free.into_iter().chain(held).collect()
@@ -70,7 +70,7 @@
             state = self.apply(&state, delivery).unwrap_or(state);
         }
         assert!(
-            self.guard(&state, 0).is_some(),
+            state.guard(0).is_some(),
             "two acceptors of three are enough"
         );
         state
--- a/crates/lease/tests/model_check/model.rs
+++ b/crates/lease/tests/model_check/model.rs
@@ -1,6 +1,6 @@
 //! The model: the events that are possible in a state, and the state after an event.
 
-use crate::state::{Event, InjectedFault, ModelState};
+use crate::state::{Event, InjectedFault, ModelState, TICK};
 use quartzcleat_lease::*;
 
 /// Clocks may run a quarter apart, as the model's time advances in coarse ticks.
@@ -8,34 +8,28 @@
     duration: 4_000,
     drift_per_mille: 250,
 };
-const TICK: Nanos = 1_000;
-pub(crate) const CLOCK_ORIGIN: Nanos = 100_000;
 
 /// Bounds of the search.
-pub struct Limits {
+pub(crate) struct Limits {
     /// The last tick.
     pub end: u64,
     pub rounds: u32,
     pub operations: u32,
 }
 
-pub struct Model {
+pub(crate) struct Model {
     pub acceptor_count: usize,
     pub fault: InjectedFault,
     pub limits: Limits,
 }
 
-fn clock(time: u64, rate: i64) -> Nanos {
-    CLOCK_ORIGIN + (time * TICK).saturating_add_signed(time as i64 * TICK as i64 / 8 * rate)
-}
-
 /// The other one of the two proposers.
 fn other_proposer(proposer: usize) -> usize {
     1 - proposer
 }
 
 impl Model {
-    pub fn events(&self, state: &ModelState) -> Vec<Event> {
+    pub(crate) fn events(&self, state: &ModelState) -> Vec<Event> {
         let mut events = Vec::new();
         if state.time < self.limits.end {
             events.push(Event::AdvanceTime);
@@ -59,11 +53,11 @@
     }
 
     /// The state after an event; `None` where the event changes nothing.
-    pub fn apply(&self, before: &ModelState, event: Event) -> Option<ModelState> {
+    pub(crate) fn apply(&self, before: &ModelState, event: Event) -> Option<ModelState> {
         let mut state = before.clone();
         match event {
             Event::AdvanceTime => state.time += 1,
-            Event::BeginRound { proposer } => self.begin_round(&mut state, proposer),
+            Event::BeginRound { proposer } => begin_round(&mut state, proposer),
             Event::DeliverRequest {
                 acceptor,
                 request,
@@ -71,7 +65,7 @@
             } => {
                 let response = self.deliver_request(&mut state, acceptor, &request);
                 if let Some(response) = response.filter(|_| response_arrives) {
-                    self.deliver_response(&mut state, acceptor, &response);
+                    deliver_response(&mut state, acceptor, &response);
                 }
             }
             Event::StartOperation { proposer } => self.start_operation(&mut state, proposer)?,
@@ -84,26 +78,13 @@
         (state != *before).then_some(state)
     }
 
-    fn proposer_clock(&self, state: &ModelState, proposer: usize) -> Nanos {
-        let set_back = if proposer == 0 { state.set_back } else { 0 };
-        clock(state.time, state.rates.proposers[proposer]) - set_back
-    }
-
-    fn acceptor_clock(&self, state: &ModelState, acceptor: usize) -> Nanos {
-        clock(state.time, state.rates.acceptors[acceptor])
-    }
-
-    pub(crate) fn guard(&self, state: &ModelState, proposer: usize) -> Option<Guard> {
-        state.proposers[proposer].guard(self.proposer_clock(state, proposer))
-    }
-
     fn add_proposer_events(&self, state: &ModelState, proposer: usize, events: &mut Vec<Event>) {
-        let now = self.proposer_clock(state, proposer);
+        let now = state.proposer_clock(proposer);
         let is_past_deadline = now >= state.proposers[proposer].next_deadline();
         if is_past_deadline && state.rounds < self.limits.rounds {
             events.push(Event::BeginRound { proposer });
         }
-        let held = self.guard(state, proposer).is_some();
+        let held = state.guard(proposer).is_some();
         let unguarded = self.fault == InjectedFault::OperationWithoutGuard
             && state.proposers[proposer].guard(0).is_some();
         if state.operations < self.limits.operations && (held || unguarded) {
@@ -128,19 +109,13 @@
         }
     }
 
-    fn begin_round(&self, state: &mut ModelState, proposer: usize) {
-        let now = self.proposer_clock(state, proposer);
-        state.requests.extend(state.proposers[proposer].tick(now));
-        state.rounds += 1;
-    }
-
     fn deliver_request(
         &self,
         state: &mut ModelState,
         acceptor: usize,
         request: &Message,
     ) -> Option<Message> {
-        let now = self.acceptor_clock(state, acceptor);
+        let now = state.acceptor_clock(acceptor);
         let before = state.acceptors[acceptor].clone();
         let mut body = state.acceptors[acceptor].handle(now, request)?;
         if request.body == Body::Propose {
@@ -156,28 +131,13 @@
         })
     }
 
-    fn deliver_response(&self, state: &mut ModelState, acceptor: usize, response: &Message) {
-        let proposer = response.ballot.proposer as usize;
-        let now = self.proposer_clock(state, proposer);
-        let held_before = self.guard(state, proposer).is_some();
-        let request = state.proposers[proposer].handle_response(now, acceptor as u32, response);
-        state.requests.extend(request);
-        let acquired = !held_before && self.guard(state, proposer).is_some();
-        if !acquired {
-            return;
-        }
-        state.two_holders |= self.guard(state, other_proposer(proposer)).is_some();
-        let last = state.last_admitted;
-        state.takeover |= last.round > 0 && last.proposer as usize != proposer;
-    }
-
     fn start_operation(&self, state: &mut ModelState, proposer: usize) -> Option<()> {
         let now = match self.fault {
             InjectedFault::OperationWithoutGuard => 0,
-            _ => self.proposer_clock(state, proposer),
+            _ => state.proposer_clock(proposer),
         };
         let operation = state.proposers[proposer].guard(now)?.permit(now, 1)?;
-        state.two_holders |= self.guard(state, other_proposer(proposer)).is_some();
+        state.two_holders |= state.guard(other_proposer(proposer)).is_some();
         state.operations += 1;
         state.operations_in_flight.insert(operation.token);
         Some(())
@@ -200,19 +160,19 @@
             InjectedFault::NoRestartSilence => TIMING.restart_silence(),
             _ => 0,
         };
-        let now = self.acceptor_clock(state, acceptor);
+        let now = state.acceptor_clock(acceptor);
         state.acceptors[acceptor] = Acceptor::new(TIMING, now - skipped_silence);
         state.restarts += 1;
     }
 
     fn restart_proposer(&self, state: &mut ModelState, proposer: usize) {
-        let now = self.proposer_clock(state, proposer);
+        let now = state.proposer_clock(proposer);
         state.proposers[proposer] = self.proposer(proposer, 2, now);
         state.restarts += 1;
     }
 
     fn release(&self, state: &mut ModelState, proposer: usize) {
-        let now = self.proposer_clock(state, proposer);
+        let now = state.proposer_clock(proposer);
         let before = state.proposers[proposer].clone();
         state
             .requests
@@ -222,3 +182,24 @@
         }
     }
 }
+
+fn begin_round(state: &mut ModelState, proposer: usize) {
+    let now = state.proposer_clock(proposer);
+    state.requests.extend(state.proposers[proposer].tick(now));
+    state.rounds += 1;
+}
+
+fn deliver_response(state: &mut ModelState, acceptor: usize, response: &Message) {
+    let proposer = response.ballot.proposer as usize;
+    let now = state.proposer_clock(proposer);
+    let held_before = state.guard(proposer).is_some();
+    let request = state.proposers[proposer].handle_response(now, acceptor as u32, response);
+    state.requests.extend(request);
+    let acquired = !held_before && state.guard(proposer).is_some();
+    if !acquired {
+        return;
+    }
+    state.two_holders |= state.guard(other_proposer(proposer)).is_some();
+    let last = state.last_admitted;
+    state.takeover |= last.round > 0 && last.proposer as usize != proposer;
+}
--- a/crates/lease/tests/model_check/search.rs
+++ b/crates/lease/tests/model_check/search.rs
@@ -8,27 +8,27 @@
 const WALK_STEPS: usize = 60;
 
 /// What the exhaustive search found.
-pub struct ExhaustiveResult {
+pub(crate) struct ExhaustiveResult {
     pub violated: bool,
     pub states: usize,
 }
 
 /// The first walk that violated an invariant.
 #[derive(Debug, PartialEq)]
-pub struct Violation {
+pub(crate) struct Violation {
     pub seed: u64,
     pub step: usize,
 }
 
 /// What the random walks found.
-pub struct WalkResult {
+pub(crate) struct WalkResult {
     pub violation: Option<Violation>,
     /// Walks in which another limiter took the lease after an operation of the first holder.
     pub takeovers: usize,
 }
 
 /// Goes through every order of up to `depth` events, from a free lease and from one that is held.
-pub fn exhaustive(fault: InjectedFault, depth: usize) -> ExhaustiveResult {
+pub(crate) fn exhaustive(fault: InjectedFault, depth: usize) -> ExhaustiveResult {
     let model = Model {
         acceptor_count: 3,
         fault,
@@ -71,7 +71,7 @@
 }
 
 /// Walks at random, each walk with its number as the seed, until one violates an invariant.
-pub fn random_walks(fault: InjectedFault, walks: u64) -> WalkResult {
+pub(crate) fn random_walks(fault: InjectedFault, walks: u64) -> WalkResult {
     let model = Model {
         acceptor_count: 3,
         fault,
--- a/crates/lease/tests/model_check/state.rs
+++ b/crates/lease/tests/model_check/state.rs
@@ -3,9 +3,12 @@
 use quartzcleat_lease::*;
 use std::collections::BTreeSet;
 
+pub(crate) const TICK: Nanos = 1_000;
+pub(crate) const CLOCK_ORIGIN: Nanos = 100_000;
+
 /// A fault in the protocol's implementation or assumptions that the search has to find.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum InjectedFault {
+pub(crate) enum InjectedFault {
     None,
     NoRestartSilence,
     NoDriftBound,
@@ -21,13 +24,13 @@
 
 /// By how many eighths each clock runs fast.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct ClockRates {
+pub(crate) struct ClockRates {
     pub proposers: Vec<i64>,
     pub acceptors: Vec<i64>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct ModelState {
+pub(crate) struct ModelState {
     pub time: u64,
     pub rates: ClockRates,
     /// How far the first proposer's clock was set back.
@@ -51,13 +54,33 @@
 
 impl ModelState {
     /// Whether an invariant is violated.
-    pub fn is_violated(&self) -> bool {
+    pub(crate) fn is_violated(&self) -> bool {
         self.two_holders || self.stale_token_admitted
     }
+
+    /// The time by the clock of a proposer.
+    pub(crate) fn proposer_clock(&self, proposer: usize) -> Nanos {
+        let set_back = if proposer == 0 { self.set_back } else { 0 };
+        clock(self.time, self.rates.proposers[proposer]) - set_back
+    }
+
+    /// The time by the clock of an acceptor.
+    pub(crate) fn acceptor_clock(&self, acceptor: usize) -> Nanos {
+        clock(self.time, self.rates.acceptors[acceptor])
+    }
+
+    /// The lease that a proposer holds by its clock.
+    pub(crate) fn guard(&self, proposer: usize) -> Option<Guard> {
+        self.proposers[proposer].guard(self.proposer_clock(proposer))
+    }
+}
+
+fn clock(time: u64, rate: i64) -> Nanos {
+    CLOCK_ORIGIN + (time * TICK).saturating_add_signed(time as i64 * TICK as i64 / 8 * rate)
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Event {
+pub(crate) enum Event {
     AdvanceTime,
     BeginRound {
         proposer: usize,
@@ -87,7 +110,7 @@
 }
 
 impl Event {
-    pub fn is_restart_or_release(&self) -> bool {
+    pub(crate) fn is_restart_or_release(&self) -> bool {
         matches!(
             self,
             Event::RestartAcceptor { .. } | Event::RestartProposer { .. } | Event::Release { .. }
@@ -95,7 +118,7 @@
     }
 
     /// Whether the event delivers this request and its response.
-    pub fn delivers_with_response(&self, wanted: Option<&Message>) -> bool {
+    pub(crate) fn delivers_with_response(&self, wanted: Option<&Message>) -> bool {
         matches!(
             self,
             Event::DeliverRequest { request, response_arrives: true, .. } if Some(request) == wanted
--- a/crates/lease/tests/wire_format.rs
+++ b/crates/lease/tests/wire_format.rs
@@ -16,7 +16,10 @@
 const TASK_HEX: &str = "0462656174";
 
 fn to_hex(bytes: &[u8]) -> String {
-    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+    let digits = bytes.iter().flat_map(|byte| [byte >> 4, byte & 0xf]);
+    digits
+        .filter_map(|digit| char::from_digit(u32::from(digit), 16))
+        .collect()
 }
 
 /// The kind, the ballot, what the kind carries, and the task after its length.
--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -18,6 +18,10 @@
 /// deployment alone (JSON or YAML). The product configuration is checked with --config. No process is started and no
 /// address is opened.
 #[derive(Debug, Args)]
+#[expect(
+    clippy::doc_markdown,
+    reason = "the comments are the text of --help, where backticks would be shown"
+)]
 pub struct Check {
     /// Configurations and deployment files; the file of BALANCER_CONFIG if none is named.
     files: Vec<PathBuf>,
@@ -113,11 +117,7 @@
     if checked.is_valid() {
         return format!("{}: valid\n", checked.file);
     }
-    checked
-        .faults
-        .iter()
-        .map(|fault| format!("{fault}\n"))
-        .collect()
+    checked.faults.join("\n") + "\n"
 }
 
 fn report_json(checked: &CheckedFile) -> Value {
--- a/src/cli/demo/table.rs
+++ b/src/cli/demo/table.rs
@@ -48,8 +48,19 @@
 pub(super) fn render(processes: &Processes, records: &[Record]) -> String {
     let mut text = String::from("Events:\n");
     text.push_str(&render_notes(records));
-    text.push_str(&format!(
-        "\n{:24} {:10} {:>8} {:>8} {:>6} {:>8} {:>7} {:>10} {:>10}\n",
+    text.push('\n');
+    text.push_str(&render_header());
+    for (key, mut row) in count(records) {
+        row.response_times.sort_unstable();
+        text.push_str(&render_row(processes, key, &row));
+    }
+    text.push('\n');
+    text
+}
+
+fn render_header() -> String {
+    format!(
+        "{:24} {:10} {:>8} {:>8} {:>6} {:>8} {:>7} {:>10} {:>10}\n",
         "limiter",
         "class",
         "received",
@@ -59,24 +70,23 @@
         "failed",
         "median ms",
         "95% ms"
-    ));
-    for (key, mut row) in count(records) {
-        row.response_times.sort_unstable();
-        text.push_str(&format!(
-            "{:24} {:10} {:>8} {:>8} {:>6} {:>8} {:>7} {:>10.1} {:>10.1}\n",
-            processes.limiter(key.limiter),
-            processes.class(key.class),
-            row.received,
-            row.attempts,
-            row.served,
-            row.rejected,
-            row.failed,
-            row.quantile_ms(0.5),
-            row.quantile_ms(0.95)
-        ));
-    }
-    text.push('\n');
-    text
+    )
+}
+
+/// One row; its response times are sorted.
+fn render_row(processes: &Processes, key: RowKey, row: &Row) -> String {
+    format!(
+        "{:24} {:10} {:>8} {:>8} {:>6} {:>8} {:>7} {:>10.1} {:>10.1}\n",
+        processes.limiter(key.limiter),
+        processes.class(key.class),
+        row.received,
+        row.attempts,
+        row.served,
+        row.rejected,
+        row.failed,
+        row.quantile_ms(0.5),
+        row.quantile_ms(0.95)
+    )
 }
 
 fn render_notes(records: &[Record]) -> String {
--- a/src/cli/expect.rs
+++ b/src/cli/expect.rs
@@ -20,6 +20,10 @@
 ///
 /// Exit code 0: all hold; 1: one does not; 2: a file cannot be used.
 #[derive(Debug, Args)]
+#[expect(
+    clippy::struct_excessive_bools,
+    reason = "each one is a flag of the command line"
+)]
 pub struct Expect {
     /// Files of expectations, or folders of them.
     #[arg(default_value = "deploy/expectations")]
@@ -93,7 +97,7 @@
         Some((from, to)) => {
             let from = parse_number(from)?;
             let to = parse_number(to)?;
-            vec![from, (from + to) / 2.0, to]
+            vec![from, f64::midpoint(from, to), to]
         }
         None => vec![parse_number(values)?],
     };
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -23,6 +23,10 @@
 ///
 /// Commands that check exit with 0 if everything holds, 1 if something does not, and 2 if that cannot be determined.
 #[derive(Debug, Parser)]
+#[expect(
+    clippy::doc_markdown,
+    reason = "the comments are the text of --help, where backticks would be shown"
+)]
 #[command(version, about, long_about)]
 pub struct Cli {
     /// The product configuration, such as deploy/quartzcleat.yaml.
@@ -46,6 +50,10 @@
 
 /// The format of a report.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, ValueEnum)]
+#[expect(
+    clippy::doc_markdown,
+    reason = "the comments are the text of --help, where backticks would be shown"
+)]
 pub enum Format {
     /// Text for people.
     #[default]
--- a/tests/documentation/log_events.rs
+++ b/tests/documentation/log_events.rs
@@ -7,7 +7,7 @@
 const METRICS_EVENT: &str = "metrics";
 
 /// The log events of all sources.
-pub fn of_sources() -> Vec<scanner::LogEvent> {
+pub(crate) fn of_sources() -> Vec<scanner::LogEvent> {
     let mut events = Vec::new();
     for (path, source) in sources::all() {
         match scanner::log_events(&source) {
@@ -19,7 +19,7 @@
 }
 
 /// The keys of the metrics.
-pub fn metrics_keys() -> BTreeSet<String> {
+pub(crate) fn metrics_keys() -> BTreeSet<String> {
     let events = of_sources();
     let mut metrics = events
         .into_iter()
@@ -30,7 +30,7 @@
 }
 
 /// The names of attempts' outcomes, which are keys within the metrics' key `outcomes`.
-pub fn outcome_names() -> BTreeSet<String> {
+pub(crate) fn outcome_names() -> BTreeSet<String> {
     sources::below_root("src/net/metrics.rs")
         .iter()
         .flat_map(|(_, source)| scanner::names_behind_arrows(source))
--- a/tests/documentation/on_call.rs
+++ b/tests/documentation/on_call.rs
@@ -14,7 +14,7 @@
 const ADMIN_PATHS: [&str; 1] = ["/ready"];
 
 /// The events in the first columns of the tables of all events.
-pub fn listed_events() -> BTreeSet<String> {
+pub(crate) fn listed_events() -> BTreeSet<String> {
     let page = pages::read(PAGE);
     let mut events = BTreeSet::new();
     for heading in page.lines().filter(|line| line.starts_with(EVENT_TABLES)) {
--- a/tests/documentation/pages.rs
+++ b/tests/documentation/pages.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 
 /// Reads a page of `docs/`.
-pub fn read(name: &str) -> String {
+pub(crate) fn read(name: &str) -> String {
     let path = Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("docs")
         .join(name);
@@ -13,12 +13,12 @@
 }
 
 /// The code spans of a text, in their order.
-pub fn code_spans(text: &str) -> Vec<&str> {
+pub(crate) fn code_spans(text: &str) -> Vec<&str> {
     text.split('`').skip(1).step_by(2).collect()
 }
 
 /// The cells of the table rows of a text, without the rows that only draw a line.
-pub fn table_rows(text: &str) -> Vec<Vec<&str>> {
+pub(crate) fn table_rows(text: &str) -> Vec<Vec<&str>> {
     text.lines()
         .filter(|line| line.starts_with('|') && !line.starts_with("| ---"))
         .map(|line| line.trim_matches('|').split(" | ").map(str::trim).collect())
@@ -29,7 +29,7 @@
 ///
 /// # Panics
 /// The page has no such heading.
-pub fn section<'a>(page: &'a str, heading: &str) -> &'a str {
+pub(crate) fn section<'a>(page: &'a str, heading: &str) -> &'a str {
     let start = page
         .find(&format!("{heading}\n"))
         .unwrap_or_else(|| panic!("a page has no heading {heading:?}"));
@@ -45,7 +45,7 @@
 ///
 /// `{mode: normal, calls: [late]}` names `mode` and `calls`; a list without maps holds values. A span may list bare keys,
 /// as in `{from, through}`.
-pub fn named_keys(page: &str) -> BTreeSet<String> {
+pub(crate) fn named_keys(page: &str) -> BTreeSet<String> {
     let mut keys = BTreeSet::new();
     let mut prose = String::new();
     for (index, part) in page.split("```").enumerate() {
--- a/tests/documentation/scanner.rs
+++ b/tests/documentation/scanner.rs
@@ -7,11 +7,11 @@
 
 /// One call of a macro.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct LogEvent {
+pub(crate) struct LogEvent {
     /// The message.
-    pub message: String,
+    pub(crate) message: String,
     /// The names of the fields.
-    pub fields: BTreeSet<String>,
+    pub(crate) fields: BTreeSet<String>,
 }
 
 /// A piece of source code.
@@ -26,16 +26,16 @@
 
 /// A macro whose last argument is no string literal, so that the scanner cannot tell its message.
 #[derive(Debug, PartialEq, Eq)]
-pub struct UnknownMessage {
+pub(crate) struct UnknownMessage {
     /// The macro's name.
-    pub macro_name: String,
+    pub(crate) macro_name: String,
 }
 
 /// Finds the log events of a source.
 ///
 /// # Errors
 /// An event has a message that is no literal.
-pub fn log_events(source: &str) -> Result<Vec<LogEvent>, UnknownMessage> {
+pub(crate) fn log_events(source: &str) -> Result<Vec<LogEvent>, UnknownMessage> {
     let tokens = tokenize(source);
     let mut events = Vec::new();
     for (index, window) in tokens.windows(3).enumerate() {
@@ -53,7 +53,7 @@
 }
 
 /// The string literals that stand behind an arrow, as in the arms of a `match` that maps values to their names.
-pub fn names_behind_arrows(source: &str) -> BTreeSet<String> {
+pub(crate) fn names_behind_arrows(source: &str) -> BTreeSet<String> {
     let tokens = tokenize(source);
     let behind_arrow = tokens.windows(3).filter_map(|window| match window {
         [Token::Symbol('='), Token::Symbol('>'), Token::Text(name)] => Some(name.clone()),
@@ -63,7 +63,7 @@
 }
 
 /// How often a path such as `Reader::new` is called in a source.
-pub fn count_calls(source: &str, type_name: &str, function: &str) -> usize {
+pub(crate) fn count_calls(source: &str, type_name: &str, function: &str) -> usize {
     let call = [
         Token::Word(type_name.to_owned()),
         Token::Symbol(':'),
--- a/tests/documentation/sources.rs
+++ b/tests/documentation/sources.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 
 /// The text of every source file of the program and its crates, with its path.
-pub fn all() -> Vec<(PathBuf, String)> {
+pub(crate) fn all() -> Vec<(PathBuf, String)> {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let mut folders = vec![root.join("src")];
     for entry in entries(&root.join("crates")) {
@@ -13,7 +13,7 @@
 }
 
 /// The text of every source file below a folder of the repository, or of one file.
-pub fn below_root(path: &str) -> Vec<(PathBuf, String)> {
+pub(crate) fn below_root(path: &str) -> Vec<(PathBuf, String)> {
     below(&Path::new(env!("CARGO_MANIFEST_DIR")).join(path))
 }
 
