--- a/crates/config/src/deployment.rs
+++ b/crates/config/src/deployment.rs
@@ -102,8 +102,12 @@
         for Change { path, value } in changes {
             // A path that does not exist leaves the tree as it is.
             match value {
-                Some(value) => drop(tree.set(path, value.clone())),
-                None => drop(tree.remove(path)),
+                Some(value) => {
+                    tree.set(path, value.clone());
+                }
+                None => {
+                    tree.remove(path);
+                }
             }
         }
         Deployment::from_tree(self.file.clone(), tree)
@@ -148,7 +152,9 @@
         }
         match quantity::time(node) {
             // The path exists, as it is a leaf of the same tree.
-            Ok(nanos) => drop(normalized.set(&path, Content::Number(nanos as f64))),
+            Ok(nanos) => {
+                normalized.set(&path, Content::Number(nanos as f64));
+            }
             Err(problem) => faults.add(file, node.place, path, problem),
         }
     }
--- a/crates/config/src/formula.rs
+++ b/crates/config/src/formula.rs
@@ -20,7 +20,7 @@
 /// The relative error up to which two results count as equal.
 const TOLERANCE: f64 = 1e-9;
 
-/// What a name stands for in the settings in force.
+/// The setting that a name stands for, with its value in force.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SettingValue {
     /// The value; a duration in nanoseconds.
--- a/crates/config/src/formula/scan.rs
+++ b/crates/config/src/formula/scan.rs
@@ -102,12 +102,12 @@
 
     fn name(&mut self) -> String {
         self.take_while(|scanner, next| {
-            next.is_ascii_alphanumeric() || next == '_' || scanner.joins_name(next)
+            next.is_ascii_alphanumeric() || next == '_' || scanner.is_part_of_name(next)
         })
     }
 
     /// Whether a hyphen or dot belongs to a name: only where a letter or digit follows, so that `a - b` subtracts.
-    fn joins_name(&self, next: char) -> bool {
+    fn is_part_of_name(&self, next: char) -> bool {
         let following = self.characters.get(self.position + 1);
         matches!(next, '-' | '.') && following.is_some_and(char::is_ascii_alphanumeric)
     }
--- a/crates/config/src/lease.rs
+++ b/crates/config/src/lease.rs
@@ -47,7 +47,7 @@
 pub struct Task {
     /// Its name.
     pub name: String,
-    /// What the lease holder does.
+    /// The operation of the lease holder.
     pub action: TaskAction,
     /// The pause between two operations.
     pub interval: Duration,
@@ -55,7 +55,7 @@
     pub max_operation_duration: Duration,
 }
 
-/// What the holder of a task's lease does.
+/// The operation that the holder of a task's lease repeats.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TaskAction {
     /// Sends a line to a target over TCP.
--- a/crates/config/src/lease/section.rs
+++ b/crates/config/src/lease/section.rs
@@ -1,7 +1,7 @@
 //! Reading and checking of the whole section.
 
 use super::limiters::read_limiters;
-use super::task::{read_task, take_duration};
+use super::task::read_task;
 use super::testing::{read_clock_fault, read_scheduled_crash};
 use super::{ClockFault, Lease, LeaseConfigError, ScheduledCrash, Task};
 use crate::fault::Faults;
@@ -64,7 +64,7 @@
     fn read(file: &Arc<str>, reader: &mut Reader<'_>, faults: &mut Faults) -> Section {
         let limiter = reader.need("limiter", faults, text);
         let key_file = reader.need("key", faults, text);
-        let duration = take_duration(reader, "duration", faults);
+        let duration = reader.duration("duration", faults);
         let drift = reader.take("drift", faults, quantity::share);
         let scheduled_crash = reader
             .node("crash")
--- a/crates/config/src/lease/task.rs
+++ b/crates/config/src/lease/task.rs
@@ -3,7 +3,6 @@
 use super::limiters::read_address;
 use super::{LeaseConfigError, Task, TaskAction};
 use crate::fault::Faults;
-use crate::quantity;
 use crate::reader::{text, Alias, Reader};
 use crate::tree::Node;
 use std::sync::Arc;
@@ -16,25 +15,15 @@
 /// The former names of a task's keys.
 const ALIASES: &[Alias] = &[Alias::new("longest", "max_operation_duration")];
 
-/// Reads a duration, where the key is there.
-pub(super) fn take_duration(
-    reader: &mut Reader<'_>,
-    key: &'static str,
-    faults: &mut Faults,
-) -> Option<Duration> {
-    reader
-        .take(key, faults, quantity::time)
-        .map(Duration::from_nanos)
-}
-
 pub(super) fn read_task(file: &Arc<str>, node: &Node, faults: &mut Faults) -> Option<Task> {
     let mut reader = Reader::new(file, "lease.tasks", node, faults).with_aliases(ALIASES);
     let name = reader.need("name", faults, |node| {
         read_task_name(node).map_err(|error| error.to_string())
     });
     let action = read_action(file, &mut reader, faults);
-    let interval = take_duration(&mut reader, "every", faults).unwrap_or(DEFAULT_INTERVAL);
-    let max_operation_duration = take_duration(&mut reader, "max_operation_duration", faults)
+    let interval = reader.duration("every", faults).unwrap_or(DEFAULT_INTERVAL);
+    let max_operation_duration = reader
+        .duration("max_operation_duration", faults)
         .unwrap_or(DEFAULT_MAX_OPERATION_DURATION);
     if interval.is_zero() || max_operation_duration.is_zero() {
         let problem = LeaseConfigError::ZeroInterval;
--- a/crates/config/src/product.rs
+++ b/crates/config/src/product.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 const DEFAULT_LOG_FILTER: &str = "info";
-/// A fault that repeats ten times a second must not fill what the platform keeps of standard error.
+/// A fault that repeats ten times a second must not fill the log that the platform keeps of standard error.
 const DEFAULT_LOG_WINDOW: Duration = Duration::from_secs(10);
 const DEFAULT_LOG_BURST: u32 = 5;
 const MAX_LOG_BURST: u64 = 1_000_000;
@@ -92,7 +92,7 @@
         let log = reader
             .node("log")
             .map(|node| read_log(&file, node, &mut faults));
-        let metrics_interval = take_duration(&mut reader, "metrics_interval", &mut faults);
+        let metrics_interval = reader.duration("metrics_interval", &mut faults);
         if metrics_interval == Some(Duration::ZERO) {
             let problem = "0; leave it out to have none, or write a time such as 1s";
             reader.fault("metrics_interval", problem, &mut faults);
@@ -114,7 +114,7 @@
     let mut reader = Reader::new(file, "log", node, faults);
     let filter = reader.take("filter", faults, read_filter);
     let format = reader.keyword("form", &LOG_FORMATS, faults);
-    let window = take_duration(&mut reader, "window", faults);
+    let window = reader.duration("window", faults);
     let burst = reader.take("burst", faults, |node| {
         quantity::count(node, 1..=MAX_LOG_BURST)
     });
@@ -140,13 +140,3 @@
     }
     Ok(filter)
 }
-
-fn take_duration(
-    reader: &mut Reader<'_>,
-    key: &'static str,
-    faults: &mut Faults,
-) -> Option<Duration> {
-    reader
-        .take(key, faults, quantity::time)
-        .map(Duration::from_nanos)
-}
--- a/crates/config/src/reader.rs
+++ b/crates/config/src/reader.rs
@@ -6,10 +6,12 @@
 
 use crate::fault::{nearest, Faults};
 use crate::key_path::join;
+use crate::quantity;
 use crate::tree::{Content, Entry, Node, Place};
 use crate::value::ValueError;
 use std::fmt::Display;
 use std::sync::Arc;
+use std::time::Duration;
 
 /// A former name that is accepted in place of the present one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -149,6 +151,12 @@
         self.take(key, faults, read)
     }
 
+    /// Reads an optional key that holds a duration.
+    pub fn duration(&mut self, key: &'static str, faults: &mut Faults) -> Option<Duration> {
+        self.take(key, faults, quantity::time)
+            .map(Duration::from_nanos)
+    }
+
     /// Reads an optional key that holds one of the keywords of a table.
     pub fn keyword<T: Copy>(
         &mut self,
--- a/crates/config/src/tree/edit.rs
+++ b/crates/config/src/tree/edit.rs
@@ -4,35 +4,38 @@
 use crate::key_path::split_parent;
 
 impl Node {
-    /// Replaces the value at a path, or adds a key to the map above it. Returns whether the tree was changed.
+    /// Replaces the value at a path, or adds a key to the map above it. Returns whether the tree was changed: it stays as
+    /// it is where the path leads through a value that has no such member.
     pub fn set(&mut self, path: &str, content: Content) -> bool {
         let (parent, key) = split_parent(path);
-        match self.at_mut(parent) {
-            Some(parent) => parent.set_child(key, content),
-            None => false,
-        }
+        let Some(child) = self.at_mut(parent).and_then(|parent| parent.child_mut(key)) else {
+            return false;
+        };
+        child.content = content;
+        true
     }
 
-    fn set_child(&mut self, key: &str, content: Content) -> bool {
+    /// The member of a map or a list. A key that a map does not have is added without a value.
+    fn child_mut(&mut self, key: &str) -> Option<&mut Node> {
         let place = self.place;
         match &mut self.content {
             Content::Map(entries) => {
-                match entries.iter_mut().find(|entry| entry.key == key) {
-                    Some(entry) => entry.value.content = content,
-                    None => entries.push(Entry {
+                let known = entries.iter().position(|entry| entry.key == key);
+                let index = known.unwrap_or_else(|| {
+                    entries.push(Entry {
                         key: key.to_owned(),
                         place,
-                        value: Node { place, content },
-                    }),
-                }
-                true
-            }
-            Content::List(list) => {
-                let index = key.parse::<usize>().ok();
-                let member = index.and_then(|index| list.get_mut(index));
-                member.map(|member| member.content = content).is_some()
+                        value: Node {
+                            place,
+                            content: Content::Null,
+                        },
+                    });
+                    entries.len() - 1
+                });
+                Some(&mut entries[index].value)
             }
-            _ => false,
+            Content::List(list) => list.get_mut(key.parse::<usize>().ok()?),
+            _ => None,
         }
     }
 
