--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -22,6 +22,6 @@
 pub use fencing::{BeginError, ExclusiveFence, HighestToken, StaleToken};
 pub use guard::{Guard, PermittedOperation};
 pub use message::{Ballot, Body, FencingToken, Message, MessageError, MAX_MESSAGE_BYTES};
-pub use proposer::{Phase, Proposer, ProposerConfig};
+pub use proposer::{AcceptorIndex, Phase, Proposer, ProposerConfig};
 pub use stagger::stagger_delay;
 pub use timing::{LeaseTiming, Nanos};
--- a/crates/lease/src/proposer.rs
+++ b/crates/lease/src/proposer.rs
@@ -3,13 +3,14 @@
 
 use crate::guard::Guard;
 use crate::{Ballot, Body, FencingToken, LeaseTiming, Message, Nanos};
-use round::{insert_once, HeldLease, Rejection};
+use round::{HeldLease, Rejection};
+use std::collections::BTreeSet;
 
 mod round;
 #[cfg(test)]
 mod tests;
 
-pub use round::Phase;
+pub use round::{AcceptorIndex, Phase};
 
 /// A holder renews once this part of its validity has passed, which leaves time for two further rounds.
 const RENEWAL_FRACTION: u64 = 3;
@@ -17,7 +18,7 @@
 /// A round of prepare and propose may take this part of the holder's validity.
 const ROUND_TIMEOUT_FRACTION: u64 = 10;
 
-/// What a proposer is created with.
+/// The configuration of a proposer.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ProposerConfig {
     /// The duration of leases.
@@ -114,7 +115,7 @@
         Some(self.begin_round(now))
     }
 
-    /// Handles an acceptor's response. The returned message goes to all acceptors.
+    /// Handles the response of an acceptor, by its index among all limiters. The returned message goes to all acceptors.
     pub fn handle_response(
         &mut self,
         now: Nanos,
@@ -124,6 +125,7 @@
         if message.task != self.config.task {
             return None;
         }
+        let acceptor = AcceptorIndex(acceptor);
         let is_current = message.ballot == self.ballot && now < self.round_deadline;
         match message.body {
             Body::Reject {
@@ -193,7 +195,7 @@
             incarnation: self.config.incarnation,
         };
         self.phase = Phase::Preparing {
-            promised: Vec::new(),
+            promised: BTreeSet::new(),
         };
         self.rejections.clear();
         self.round_deadline = now.saturating_add(self.round_timeout);
@@ -212,23 +214,23 @@
         self.next_round_at = now.saturating_add(delay);
     }
 
-    fn handle_promise(&mut self, now: Nanos, acceptor: u32) -> Option<Message> {
+    fn handle_promise(&mut self, now: Nanos, acceptor: AcceptorIndex) -> Option<Message> {
         let majority = self.majority();
         let Phase::Preparing { promised } = &mut self.phase else {
             return None;
         };
-        insert_once(promised, acceptor);
+        promised.insert(acceptor);
         if promised.len() < majority {
             return None;
         }
         self.phase = Phase::Proposing {
             started_at: now,
-            accepted: Vec::new(),
+            accepted: BTreeSet::new(),
         };
         Some(self.message(Body::Propose))
     }
 
-    fn handle_accepted(&mut self, now: Nanos, acceptor: u32) {
+    fn handle_accepted(&mut self, now: Nanos, acceptor: AcceptorIndex) {
         let majority = self.majority();
         let Phase::Proposing {
             started_at,
@@ -237,7 +239,7 @@
         else {
             return;
         };
-        insert_once(accepted, acceptor);
+        accepted.insert(acceptor);
         if accepted.len() >= majority {
             let started_at = *started_at;
             self.acquire(now, started_at);
--- a/crates/lease/src/proposer/round.rs
+++ b/crates/lease/src/proposer/round.rs
@@ -1,6 +1,11 @@
-//! What a proposer keeps of its current round and of the lease that an earlier round acquired.
+//! A proposer's current round, and the lease that an earlier round acquired.
 
 use crate::{Ballot, FencingToken, Nanos};
+use std::collections::BTreeSet;
+
+/// The index of an acceptor among all limiters.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct AcceptorIndex(pub u32);
 
 /// How far a round has come.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -9,15 +14,15 @@
     Idle,
     /// Prepare messages have been sent.
     Preparing {
-        /// Acceptors that have promised, in ascending order.
-        promised: Vec<u32>,
+        /// Acceptors that have promised; each counts once, however often it responds.
+        promised: BTreeSet<AcceptorIndex>,
     },
     /// Propose messages have been sent.
     Proposing {
         /// When they were sent: the lease counts from then, before any acceptor's own count begins.
         started_at: Nanos,
-        /// Acceptors that have accepted, in ascending order.
-        accepted: Vec<u32>,
+        /// Acceptors that have accepted.
+        accepted: BTreeSet<AcceptorIndex>,
     },
 }
 
@@ -33,13 +38,6 @@
 /// An acceptor's rejection on behalf of another proposer, in the current round.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Rejection {
-    pub(super) acceptor: u32,
+    pub(super) acceptor: AcceptorIndex,
     pub(super) remaining: Nanos,
 }
-
-/// Inserts an acceptor into a sorted list unless it is there: each counts once, however often it responds.
-pub(super) fn insert_once(acceptors: &mut Vec<u32>, acceptor: u32) {
-    if let Err(index) = acceptors.binary_search(&acceptor) {
-        acceptors.insert(index, acceptor);
-    }
-}
