--- a/crates/expectations/src/check.rs
+++ b/crates/expectations/src/check.rs
@@ -16,7 +16,7 @@
 pub use tasks::{plan, read_deployment, CheckTask};
 
 use quartzcleat_config::{Deployment, Faults};
-use rayon::prelude::*;
+use rayon::iter::{IndexedParallelIterator, IntoParallelRefIterator, ParallelIterator};
 use std::time::Instant;
 
 /// Checks expectations.
--- a/crates/expectations/src/check/timeline.rs
+++ b/crates/expectations/src/check/timeline.rs
@@ -1,4 +1,4 @@
-//! The timeline of a failure, shortened to what a reader needs.
+//! The timeline of a failure, shortened to the entries that a reader needs.
 
 use crate::explore::Failure;
 use quartzcleat_decision::api::HostState;
--- a/crates/expectations/src/check/variation.rs
+++ b/crates/expectations/src/check/variation.rs
@@ -57,16 +57,16 @@
 /// Keeps only this share of the requests, evenly distributed.
 fn thin_out_requests(steps: &mut Vec<Step>, share: f64) {
     let mut seen = 0.0;
-    let mut kept = 0.0;
+    let mut retained = 0.0;
     steps.retain(|step| {
         if !matches!(step.event, ScenarioEvent::Request(_)) {
             return true;
         }
         seen += 1.0;
-        let is_kept = kept < seen * share;
-        if is_kept {
-            kept += 1.0;
+        let is_retained = retained < seen * share;
+        if is_retained {
+            retained += 1.0;
         }
-        is_kept
+        is_retained
     });
 }
--- a/crates/expectations/src/compile/aliases.rs
+++ b/crates/expectations/src/compile/aliases.rs
@@ -8,7 +8,7 @@
 /// Keys of an installation's file.
 pub(super) const INSTALLATION_KEYS: &[Alias] =
     &[Alias::new("rooms", "zones"), Alias::new("net", "network")];
-/// Keys of what an expectation gives.
+/// Keys of the section `given` of an expectation.
 pub(super) const GIVEN_KEYS: &[Alias] = &[Alias::new("net", "network")];
 /// Keys of the network's delays.
 pub(super) const NETWORK_KEYS: &[Alias] = &[
--- a/crates/expectations/src/compile/installation.rs
+++ b/crates/expectations/src/compile/installation.rs
@@ -52,7 +52,7 @@
         installation
     }
 
-    /// Reads what an expectation gives in place of the installation's.
+    /// Reads the parts of an installation that an expectation replaces.
     pub(super) fn read_given(&mut self, given: &mut Reader<'_>, faults: &mut Faults) {
         let file = given.file();
         self.read_hosts(given.node("nodes"), file, faults);
@@ -105,17 +105,17 @@
 
     /// Keeps only the hosts of these names.
     fn keep_hosts(&mut self, names: &[Node], file: &Arc<str>, faults: &mut Faults) {
-        let mut kept = BTreeSet::new();
+        let mut retained = BTreeSet::new();
         for name in names {
             match index_of_process(name, &self.processes.hosts, "node") {
                 Ok(index) => {
-                    kept.insert(index);
+                    retained.insert(index);
                 }
                 Err(problem) => faults.add(file, name.place, "nodes", problem),
             }
         }
-        retain_indices(&mut self.processes.hosts, &kept);
-        retain_indices(&mut self.hosts, &kept);
+        retain_indices(&mut self.processes.hosts, &retained);
+        retain_indices(&mut self.hosts, &retained);
     }
 }
 
@@ -126,12 +126,12 @@
     }
 }
 
-fn retain_indices<T>(items: &mut Vec<T>, kept: &BTreeSet<usize>) {
+fn retain_indices<T>(items: &mut Vec<T>, retained: &BTreeSet<usize>) {
     let mut index = 0;
     items.retain(|_| {
-        let is_kept = kept.contains(&index);
+        let is_retained = retained.contains(&index);
         index += 1;
-        is_kept
+        is_retained
     });
 }
 
--- a/crates/expectations/src/compile/requests.rs
+++ b/crates/expectations/src/compile/requests.rs
@@ -16,7 +16,7 @@
     pub(super) request: ClientRequest,
 }
 
-/// What a step says of its requests.
+/// The requests of a step, as written.
 struct RequestTemplate {
     kind: RequestKind,
     /// The class of first requests, or the mark of the operation that is retried.
--- a/crates/expectations/src/evaluation/bounds.rs
+++ b/crates/expectations/src/evaluation/bounds.rs
@@ -8,7 +8,7 @@
 /// Numbers are shown to four decimal places.
 const SHOWN_FRACTION: f64 = 1e4;
 
-/// What a value measures.
+/// The quantity that a value measures.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Unit {
     /// A number or a share.
--- a/crates/expectations/src/evaluation/events.rs
+++ b/crates/expectations/src/evaluation/events.rs
@@ -36,12 +36,7 @@
             let opportunities = self.find_event(request, event);
             evaluation.exercised += opportunities.count;
             if let Some(occurrence) = opportunities.first {
-                evaluation.value += 1.0;
-                evaluation.violation.get_or_insert(Violation {
-                    at: occurrence.at,
-                    request: Some(request.id),
-                    description: occurrence.description,
-                });
+                record_violation(&mut evaluation, request, occurrence);
             }
         }
         evaluation
@@ -62,13 +57,8 @@
             if expected.holds {
                 continue;
             }
-            evaluation.value += 1.0;
             let description = format!("{}, but {}", expected.opposite, describe_answer(answer));
-            evaluation.violation.get_or_insert(Violation {
-                at,
-                request: Some(request.id),
-                description,
-            });
+            record_violation(&mut evaluation, request, Occurrence { at, description });
         }
         evaluation
     }
@@ -161,9 +151,9 @@
         &self,
         request: &RequestHistory,
         reason: &str,
-        is_meant: impl Fn(&SentAttempt) -> bool,
+        matches: impl Fn(&SentAttempt) -> bool,
     ) -> Option<Occurrence> {
-        let attempt = request.attempts.iter().find(|attempt| is_meant(attempt))?;
+        let attempt = request.attempts.iter().find(|attempt| matches(attempt))?;
         let host = self.processes.host(attempt.host);
         Some(Occurrence {
             at: attempt.at,
@@ -172,17 +162,29 @@
     }
 }
 
-fn count(request: &RequestHistory, is_meant: impl Fn(&SentAttempt) -> bool) -> u64 {
+/// Counts a request that violates a requirement; the first one is reported.
+fn record_violation(evaluation: &mut Evaluation, request: &RequestHistory, occurrence: Occurrence) {
+    evaluation.value += 1.0;
+    evaluation.violation.get_or_insert(Violation {
+        at: occurrence.at,
+        request: Some(request.id),
+        description: occurrence.description,
+    });
+}
+
+/// How many attempts of a request match.
+fn count(request: &RequestHistory, matches: impl Fn(&SentAttempt) -> bool) -> u64 {
     request
         .attempts
         .iter()
-        .filter(|attempt| is_meant(attempt))
+        .filter(|attempt| matches(attempt))
         .count() as u64
 }
 
-fn find_answer(request: &RequestHistory, is_meant: impl Fn(Answer) -> bool) -> Opportunities {
+/// Whether the answer of a request matches.
+fn find_answer(request: &RequestHistory, matches: impl Fn(Answer) -> bool) -> Opportunities {
     let occurrence = |AnsweredAt { answer, at }| {
-        is_meant(answer).then(|| Occurrence {
+        matches(answer).then(|| Occurrence {
             at,
             description: describe_answer(answer),
         })
@@ -195,30 +197,40 @@
 
 /// Whether an event happened to an answered request.
 fn expect_event(request: &RequestHistory, answer: Answer, event: &RequestEvent) -> Expected {
-    let mut attempts = request.attempts.iter();
-    let (holds, opposite) = match event {
-        RequestEvent::Served => (answer == Answer::Served, "not served"),
-        RequestEvent::Rejected => (matches!(answer, Answer::Rejected(_)), "not rejected"),
-        RequestEvent::RejectedWithoutRetryAfter => (
-            answer == Answer::Rejected(0),
-            "not rejected, or rejected with a retry_after",
-        ),
-        RequestEvent::Failed => (answer == Answer::Failed, "not failed"),
-        RequestEvent::LeavesZone => (
-            attempts.all(|attempt| attempt.is_cross_zone),
-            "sent within its zone",
-        ),
-        RequestEvent::ReachesWarmingUpHost => (
-            attempts.all(|attempt| attempt.is_host_warming_up),
-            "sent to a node that is not in slow start",
-        ),
-        RequestEvent::ReachesHost(host) => (
-            attempts.all(|attempt| attempt.host == *host),
-            "sent to another node",
-        ),
-        RequestEvent::ReachesUnavailableHost { .. } | RequestEvent::ReachesHostTwice => {
-            (false, "not to be required of every request")
-        }
-    };
-    Expected { holds, opposite }
+    let holds_for_attempts =
+        |matches: fn(&SentAttempt) -> bool| request.attempts.iter().all(matches);
+    match event {
+        RequestEvent::Served => Expected {
+            holds: answer == Answer::Served,
+            opposite: "not served",
+        },
+        RequestEvent::Rejected => Expected {
+            holds: matches!(answer, Answer::Rejected(_)),
+            opposite: "not rejected",
+        },
+        RequestEvent::RejectedWithoutRetryAfter => Expected {
+            holds: answer == Answer::Rejected(0),
+            opposite: "not rejected, or rejected with a retry_after",
+        },
+        RequestEvent::Failed => Expected {
+            holds: answer == Answer::Failed,
+            opposite: "not failed",
+        },
+        RequestEvent::LeavesZone => Expected {
+            holds: holds_for_attempts(|attempt| attempt.is_cross_zone),
+            opposite: "sent within its zone",
+        },
+        RequestEvent::ReachesWarmingUpHost => Expected {
+            holds: holds_for_attempts(|attempt| attempt.is_host_warming_up),
+            opposite: "sent to a node that is not in slow start",
+        },
+        RequestEvent::ReachesHost(host) => Expected {
+            holds: request.attempts.iter().all(|attempt| attempt.host == *host),
+            opposite: "sent to another node",
+        },
+        RequestEvent::ReachesUnavailableHost { .. } | RequestEvent::ReachesHostTwice => Expected {
+            holds: false,
+            opposite: "not to be required of every request",
+        },
+    }
 }
--- a/crates/expectations/src/evaluation/metrics.rs
+++ b/crates/expectations/src/evaluation/metrics.rs
@@ -8,7 +8,7 @@
 use quartzcleat_invariants::Answer;
 use std::collections::BTreeMap;
 
-/// What a request contributes to a sum, and the most that it could.
+/// The contribution of a request to a sum, and its upper bound.
 #[derive(Clone, Copy)]
 struct Contribution {
     amount: f64,
@@ -201,7 +201,7 @@
     }
 }
 
-/// What a request contributes to a metric that is a sum.
+/// The contribution of a request to a metric that is a sum.
 fn contribution(request: &RequestHistory, metric: Metric) -> Contribution {
     let one_if = |holds: bool| Contribution {
         amount: f64::from(u8::from(holds)),
--- a/crates/expectations/src/explore.rs
+++ b/crates/expectations/src/explore.rs
@@ -1,4 +1,4 @@
-//! The search through what an expectation leaves open: exhaustive to a depth, visiting equal states once, deeper as
+//! The search through the choices that an expectation leaves open: exhaustive to a depth, visiting equal states once, deeper as
 //! long as the budget lasts; then seeded random walks for the rest of it.
 
 mod oracles;
@@ -66,7 +66,7 @@
     pub largest_value: f64,
 }
 
-/// What the search found.
+/// The result of the search.
 #[derive(Clone, Debug, Default)]
 pub struct Exploration {
     /// Runs.
--- a/crates/expectations/src/history.rs
+++ b/crates/expectations/src/history.rs
@@ -44,7 +44,7 @@
     pub(crate) host: HostIndex,
     pub(crate) is_host_warming_up: bool,
     pub(crate) is_cross_zone: bool,
-    /// What the limiter knew of the host.
+    /// The state of the host as the limiter knew it.
     pub(crate) known_state: Option<KnownState>,
     pub(crate) known_hosts: KnownHosts,
 }
--- a/crates/expectations/src/requirement.rs
+++ b/crates/expectations/src/requirement.rs
@@ -1,4 +1,4 @@
-//! Requirements: what an expectation demands of a run, as plain data.
+//! Requirements: the conditions of an expectation on a run, as plain data.
 
 use quartzcleat_decision::api::{ClassIndex, HostState, LimiterIndex, Nanos};
 use quartzcleat_invariants::{HostIndex, PartnerIndex};
--- a/crates/usage-export/src/lib.rs
+++ b/crates/usage-export/src/lib.rs
@@ -1,4 +1,4 @@
-//! Export of usage: what each customer used is written to a sink exactly once, even if processes fail meanwhile.
+//! Export of usage: the usage of each customer is written to a sink exactly once, even if processes fail meanwhile.
 //!
 //! Each limiter keeps a [`Spool`] of the attempts that it is about to send, of how they ended, and of numbered batches of
 //! their sums. The exporter, which is the lease holder of the export, fetches batches in order and appends them to its
--- a/crates/usage-export/src/sink.rs
+++ b/crates/usage-export/src/sink.rs
@@ -100,7 +100,7 @@
             .is_some_and(|batches| batches.contains_key(&sequence))
     }
 
-    /// Adds what a spool holds and the sink does not.
+    /// Adds the usage that is in a spool and not yet in the sink.
     pub fn add_spool(&mut self, spool: &Spool) {
         for batch in spool.pending_batches() {
             if !self.contains(spool.source(), batch.sequence) {
--- a/src/cli/live.rs
+++ b/src/cli/live.rs
@@ -10,7 +10,7 @@
 use quartzcleat_expectations::{compile, CompiledExpectation, Options};
 use quartzcleat_invariants::{timeline, Answer, Fact, Record};
 use quartzcleat_simulation::oracle::FirstOption;
-use rayon::prelude::*;
+use rayon::iter::{IndexedParallelIterator, IntoParallelRefIterator, ParallelIterator};
 use serde::Serialize;
 use std::cmp::Reverse;
 use std::io;
--- a/tests/documentation/pages.rs
+++ b/tests/documentation/pages.rs
@@ -74,16 +74,16 @@
 
 /// A text without the lists in square brackets that have no map in them.
 fn without_plain_lists(code: &str) -> String {
-    let mut kept = String::new();
+    let mut remaining = String::new();
     let mut rest = code;
     while let Some((before, list)) = rest.split_once('[') {
-        kept.push_str(before);
+        remaining.push_str(before);
         rest = match list.split_once(']') {
             Some((values, after)) if !values.contains('{') => after,
             _ => list,
         };
     }
-    kept + rest
+    remaining + rest
 }
 
 #[test]
--- a/tests/documentation/scanner.rs
+++ b/tests/documentation/scanner.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Token {
     /// An identifier, a keyword or a number.
-    Word(String),
+    Identifier(String),
     /// A string literal, without its quotes and with its escapes as written.
     Text(String),
     Symbol(char),
@@ -39,7 +39,7 @@
     let tokens = tokenize(source);
     let mut events = Vec::new();
     for (index, window) in tokens.windows(3).enumerate() {
-        let [Token::Word(name), Token::Symbol('!'), Token::Symbol('(')] = window else {
+        let [Token::Identifier(name), Token::Symbol('!'), Token::Symbol('(')] = window else {
             continue;
         };
         if MACROS.contains(&name.as_str()) {
@@ -65,10 +65,10 @@
 /// How often a path such as `Reader::new` is called in a source.
 pub(crate) fn count_calls(source: &str, type_name: &str, function: &str) -> usize {
     let call = [
-        Token::Word(type_name.to_owned()),
+        Token::Identifier(type_name.to_owned()),
         Token::Symbol(':'),
         Token::Symbol(':'),
-        Token::Word(function.to_owned()),
+        Token::Identifier(function.to_owned()),
         Token::Symbol('('),
     ];
     let tokens = tokenize(source);
@@ -116,8 +116,8 @@
 /// The name of a field: `name = value`, `name`, `?name` or `%name`. The target of an event is no field.
 fn field_name(argument: &[Token]) -> Option<String> {
     match argument {
-        [Token::Word(_), Token::Symbol(':'), ..] => None,
-        [Token::Word(name), ..] | [Token::Symbol('?' | '%'), Token::Word(name), ..] => {
+        [Token::Identifier(_), Token::Symbol(':'), ..] => None,
+        [Token::Identifier(name), ..] | [Token::Symbol('?' | '%'), Token::Identifier(name), ..] => {
             Some(name.clone())
         }
         _ => None,
@@ -153,7 +153,7 @@
         _ if first.is_alphanumeric() || first == '_' => {
             let is_other = |character: char| !character.is_alphanumeric() && character != '_';
             let length = rest.find(is_other).unwrap_or(rest.len());
-            (Some(Token::Word(rest[..length].to_owned())), length)
+            (Some(Token::Identifier(rest[..length].to_owned())), length)
         }
         _ if first.is_whitespace() => (None, first.len_utf8()),
         _ => (Some(Token::Symbol(first)), first.len_utf8()),
