--- a/crates/bench/src/trial/plot.rs
+++ b/crates/bench/src/trial/plot.rs
@@ -1,8 +1,11 @@
-//! The picture of a run: a row for each limiter, its actions as the target accepted or refused them, and the faults that
-//! struck it over their time.
+//! The picture of a run: a row for each limiter, its actions as the target accepted or refused them, and its faults
+//! over their time.
 
 use plotters::coord::types::RangedCoordf64;
-use plotters::prelude::*;
+use plotters::prelude::{
+    Cartesian2d, ChartBuilder, ChartContext, Color, IntoDrawingArea, IntoFont, RGBColor, Rectangle,
+    SVGBackend, Text, GREEN, RED, WHITE,
+};
 use quartzcleat_decision::api::LimiterIndex;
 use quartzcleat_fault_injection::scenario::FaultKind;
 use quartzcleat_fault_injection::target::Action;
@@ -81,7 +84,7 @@
     }
 }
 
-/// The limiters that have a row: those that acted or were struck, in their order.
+/// The limiters that have a row: those with an action or a fault, in their order.
 struct Rows(Vec<LimiterIndex>);
 
 impl Rows {
@@ -90,8 +93,8 @@
             .seen
             .iter()
             .map(|action| LimiterIndex(action.token.proposer));
-        let struck = spans.iter().map(|span| span.limiter);
-        let mut limiters: Vec<LimiterIndex> = acted.chain(struck).collect();
+        let faulty = spans.iter().map(|span| span.limiter);
+        let mut limiters: Vec<LimiterIndex> = acted.chain(faulty).collect();
         limiters.sort_unstable();
         limiters.dedup();
         limiters.truncate(MAX_ROWS);
--- a/src/net/hot_restart/mod.rs
+++ b/src/net/hot_restart/mod.rs
@@ -7,10 +7,12 @@
 
 pub mod listener_handover;
 mod local_process;
+mod seen_states;
 mod shared_folder;
 
 pub use local_process::LocalProcess;
 
+use self::seen_states::{Seen, SeenStates};
 use self::shared_folder::SharedFolder;
 use super::config::Limits;
 use super::discovery::DiscoveryClient;
@@ -20,7 +22,7 @@
 use crate::api::{Event, Nanos, ZoneId};
 use quartzcleat_admin::{DrainOrder, Handoff, SharedState, Successor, FORMAT_VERSION};
 use std::cell::{Cell, RefCell};
-use std::collections::{HashMap, HashSet};
+use std::collections::HashSet;
 use std::rc::Rc;
 use tokio::time::sleep;
 
@@ -37,8 +39,7 @@
     published: Cell<Option<PublishedState>>,
     /// Processes that have ended, whose files are removed once their orders are published by this one.
     ended: RefCell<Vec<String>>,
-    /// The text read last from each process.
-    seen: RefCell<HashMap<String, String>>,
+    seen: SeenStates,
     /// When the other process of this limiter started that accepts clients.
     other_serving_since: Cell<Option<Nanos>>,
     /// Later processes to which this one has handed over.
@@ -80,7 +81,7 @@
             is_serving: Cell::default(),
             published: Cell::default(),
             ended: RefCell::default(),
-            seen: RefCell::default(),
+            seen: SeenStates::default(),
             other_serving_since: Cell::default(),
             successors: RefCell::default(),
         }
@@ -119,7 +120,7 @@
             return;
         };
         let current = PublishedState {
-            maintenance_revision: self.discovery.maintenance().borrow().revision(),
+            maintenance_revision: self.discovery.maintenance_revision(),
             drain: self.shutdown.drain_order(),
             is_serving: self.is_serving.get(),
         };
@@ -137,7 +138,6 @@
     }
 
     fn shared_state(&self) -> SharedState {
-        let maintenance = self.discovery.maintenance().borrow();
         SharedState {
             version: FORMAT_VERSION,
             name: self.process.name.clone(),
@@ -145,8 +145,8 @@
             started_at: self.process.started_at,
             is_serving: self.is_serving.get(),
             drain: self.shutdown.drain_order(),
-            maintenance: maintenance.orders().clone(),
-            listed: maintenance.listed_names().cloned().collect(),
+            maintenance: self.discovery.maintenance_orders(),
+            listed: self.discovery.listed_names(),
         }
     }
 
@@ -176,26 +176,13 @@
     /// Reads the state that one process published; returns when that process started, if it lives and accepts clients.
     fn look_at(&self, folder: &SharedFolder, process: &str) -> Option<Nanos> {
         let text = folder.read_state(process).ok()?;
-        let state = match SharedState::from_text(&text, self.process.identity()) {
-            Ok(state) => state,
-            Err(error) => {
-                let seen = self.seen.borrow_mut().insert(process.to_owned(), text);
-                if seen.is_none() {
-                    tracing::warn!(process, %error, "state of another process ignored");
-                }
-                return None;
-            }
-        };
+        let state = self.parse_state(process, &text)?;
         let is_alive = folder.is_alive(process);
         let is_successor = !state.is_serving && state.started_at > self.process.started_at;
         if is_alive && is_successor && self.is_serving.get() {
             self.hand_over(folder, process);
         }
-        let seen = self
-            .seen
-            .borrow_mut()
-            .insert(process.to_owned(), text.clone());
-        if seen != Some(text) {
+        if self.seen.record(process, &text) != Seen::Unchanged {
             self.apply(&state);
         }
         if !is_alive {
@@ -206,18 +193,23 @@
         (is_alive && state.is_serving).then_some(state.started_at)
     }
 
-    /// Applies the orders that another process published.
-    fn apply(&self, state: &SharedState) {
-        let changed = {
-            let mut maintenance = self.discovery.maintenance().borrow_mut();
-            for name in &state.listed {
-                maintenance.record_listed(name);
+    /// Parses the state of a process of this limiter. The first text of another process that is no such state is logged.
+    fn parse_state(&self, process: &str, text: &str) -> Option<SharedState> {
+        match SharedState::from_text(text, self.process.identity()) {
+            Ok(state) => Some(state),
+            Err(error) => {
+                if self.seen.record(process, text) == Seen::First {
+                    tracing::warn!(process, %error, "state of another process ignored");
+                }
+                None
             }
-            maintenance.merge(&state.maintenance)
-        };
-        for name in changed {
-            self.discovery.reapply_maintenance(&name);
         }
+    }
+
+    /// Applies the orders that another process published.
+    fn apply(&self, state: &SharedState) {
+        self.discovery
+            .merge_maintenance(&state.listed, &state.maintenance);
         self.shutdown.merge_drain_order(state.drain);
     }
 
@@ -226,11 +218,10 @@
         if !self.successors.borrow_mut().insert(successor.to_owned()) {
             return;
         }
-        let endpoints = self.discovery.endpoints().borrow();
         let handoff = Handoff::new(
             self.process.identity(),
-            endpoints.zones().to_vec(),
-            endpoints.to_json(),
+            self.discovery.zone_names(),
+            self.discovery.list_to_json(),
             self.engine.snapshot(),
         );
         match folder.write_handoff(successor, &handoff.to_text()) {
@@ -261,11 +252,9 @@
             }
         }
         let mut learned = handoff.learned;
-        {
-            let mut endpoints = self.discovery.endpoints().borrow_mut();
-            for snapshot in &mut learned.zones {
-                snapshot.zone = endpoints.zone(&handoff.zones, ZoneId(snapshot.zone)).0;
-            }
+        for snapshot in &mut learned.zones {
+            let zone = ZoneId(snapshot.zone);
+            snapshot.zone = self.discovery.zone(&handoff.zones, zone).0;
         }
         tracing::info!(
             hosts = learned.hosts.len(),
--- a/src/net/resp/downstream/mod.rs
+++ b/src/net/resp/downstream/mod.rs
@@ -2,19 +2,21 @@
 //! the commands.
 
 mod closing;
+mod command_error;
 mod connection;
 mod idle_connections;
 mod input;
 mod listener;
 mod output;
 mod request_catalog;
+mod request_facts;
 mod request_parser;
 mod response_queue;
 
 #[cfg(test)]
 mod tests;
 
-pub use listener::accept;
+pub use listener::{accept, RedirectListener};
 pub use request_catalog::RequestCatalog;
 
 use self::idle_connections::IdleConnections;
--- a/src/net/resp/upstream/tests.rs
+++ b/src/net/resp/upstream/tests.rs
@@ -1,4 +1,4 @@
-//! Commands, replies, and which connections carry calls.
+//! Commands, replies, and the connections that carry calls.
 
 use super::*;
 use crate::api::{CustomerId, HostEntry, HostId, HostState, Outcome, ReportSource, RequestId};
@@ -17,7 +17,7 @@
     limits
 }
 
-/// The arguments go on as they came, but for the wait, whose length may change.
+/// The arguments are forwarded unchanged, but for the wait, whose length may change.
 #[test]
 fn only_the_wait_is_rewritten() {
     with_limiter(&[], |limiter| async move {
@@ -44,41 +44,62 @@
     });
 }
 
-/// A reply, how the call ends by it, the load in it, and whether the connection may be used again.
-type ReplyCase = (&'static str, Outcome, Option<f64>, bool);
+/// A reply, and the end of the call that it leads to.
+struct ReplyCase {
+    bytes: &'static str,
+    outcome: Outcome,
+    /// The first value of the load report.
+    load: Option<f64>,
+    /// The connection may be used again.
+    is_known_form: bool,
+}
+
+impl ReplyCase {
+    /// A reply of one of the protocol's forms.
+    const fn known(bytes: &'static str, outcome: Outcome, load: Option<f64>) -> Self {
+        ReplyCase {
+            bytes,
+            outcome,
+            load,
+            is_known_form: true,
+        }
+    }
+
+    /// A reply of no form of the protocol.
+    const fn unknown(bytes: &'static str) -> Self {
+        ReplyCase {
+            bytes,
+            outcome: Outcome::Error,
+            load: None,
+            is_known_form: false,
+        }
+    }
+}
 
 const REPLIES: [ReplyCase; 12] = [
-    (
+    ReplyCase::known(
         "*3\r\n$3\r\nbed\r\n$-1\r\n$20\r\ninflight=7,queue=2.5\r\n",
         Outcome::Good,
         Some(7.0),
-        true,
     ),
-    (
+    ReplyCase::known(
         "*3\r\n$3\r\nbed\r\n$-1\r\n$3\r\n=,=\r\n",
         Outcome::Good,
         None,
-        true,
     ),
-    (
-        "*3\r\n$3\r\nbed\r\n:-7\r\n+?\r\n",
-        Outcome::Good,
-        None,
-        true,
-    ),
-    ("*3\r\n$-1\r\n$-1\r\n$-1\r\n", Outcome::Error, None, false),
-    ("*2\r\n$3\r\nbed\r\n$-1\r\n", Outcome::Error, None, false),
-    ("$3\r\nbed\r\n", Outcome::Error, None, false),
-    ("+OK\r\n", Outcome::Error, None, false),
-    (":5\r\n", Outcome::Error, None, false),
-    ("-BUSY\r\n", Outcome::Rejected, None, true),
-    ("-BUSY inflight=9\r\n", Outcome::Rejected, Some(9.0), true),
-    ("-BUSYBODY\r\n", Outcome::Error, None, false),
-    (
+    ReplyCase::known("*3\r\n$3\r\nbed\r\n:-7\r\n+?\r\n", Outcome::Good, None),
+    ReplyCase::unknown("*3\r\n$-1\r\n$-1\r\n$-1\r\n"),
+    ReplyCase::unknown("*2\r\n$3\r\nbed\r\n$-1\r\n"),
+    ReplyCase::unknown("$3\r\nbed\r\n"),
+    ReplyCase::unknown("+OK\r\n"),
+    ReplyCase::unknown(":5\r\n"),
+    ReplyCase::known("-BUSY\r\n", Outcome::Rejected, None),
+    ReplyCase::known("-BUSY inflight=9\r\n", Outcome::Rejected, Some(9.0)),
+    ReplyCase::unknown("-BUSYBODY\r\n"),
+    ReplyCase::known(
         "-ERR failed inflight=3,queue=0\r\n",
         Outcome::Error,
         Some(3.0),
-        true,
     ),
 ];
 
@@ -99,11 +120,12 @@
     parsed.expect("well-formed").expect("whole").reply
 }
 
-/// What is good, and after what the connection may be used again.
+/// Only a complete, well-formed value is a good outcome, and only after a known form the connection is used again.
 #[test]
 fn only_a_complete_well_formed_value_is_good() {
     with_limiter(&[], |limiter| async move {
-        for (bytes, outcome, inflight, known) in REPLIES {
+        for case in REPLIES {
+            let bytes = case.bytes;
             let reply = parse(bytes, limiter.limits());
             let source = ReportSource::Answers;
             let interpretation = interpret(&reply, bytes.as_bytes(), &attempt(), HostId(5), source);
@@ -111,10 +133,10 @@
             let load = result.load.readings.first().map(|reading| reading.value);
             assert_eq!(
                 (result.outcome, load, interpretation.is_known_form),
-                (outcome, inflight, known),
+                (case.outcome, case.load, case.is_known_form),
                 "{bytes:?}"
             );
-            let value: &[u8] = match outcome {
+            let value: &[u8] = match case.outcome {
                 Outcome::Good => b"bed",
                 _ => b"",
             };
@@ -124,7 +146,7 @@
 }
 
 #[test]
-fn bytes_that_begin_no_reply_are_not_awaited() {
+fn bytes_that_begin_no_reply_are_recognized() {
     for bytes in ["", "*3\r", "*3\r\n$9", "-E"] {
         assert!(may_become_reply(bytes.as_bytes(), &attempt()), "{bytes:?}");
     }
@@ -133,7 +155,7 @@
     }
 }
 
-/// Figures on usage are read whatever the load report is; figures that are out of range count as missing.
+/// Figures on usage are read beside any load report, also a malformed one; figures out of range count as missing.
 #[test]
 fn usage_figures_are_read_from_answers() {
     with_limiter(&[], |limiter| async move {
@@ -162,14 +184,12 @@
     });
 }
 
-/// For a moment after its answer a connection is not used again: more may follow.
+/// For a moment after its answer a connection is not used again: more bytes may follow.
 #[test]
-fn a_connection_rests_after_an_answer() {
+fn connection_is_not_reused_right_after_an_answer() {
     with_limiter(&[], |limiter| async move {
-        let (upstream, address) = (
-            limiter.upstream(),
-            "127.0.0.1:9".parse().expect("an address"),
-        );
+        let upstream = limiter.upstream();
+        let address = "127.0.0.1:9".parse().expect("an address");
         let state = HostState::Ready;
         upstream.update_host(
             &HostEntry {
@@ -187,7 +207,7 @@
             .begin_attempt(attempt_order(1, HostId(5)), now);
         let mut parked = upstream
             .add_idle(HostId(5), address)
-            .expect("it may wait")
+            .expect("the host is ready")
             .next_call;
         let back = upstream.send_on_idle(call.expect("within the cap"), limiter.limits());
         let call = back.expect_err("it answered just now");
@@ -197,14 +217,12 @@
     });
 }
 
-/// A call that was decided before a drain goes out for the drain grace only.
+/// A call that was decided before a drain is sent within the drain grace only.
 #[test]
-fn a_host_that_drains_is_soon_sent_nothing() {
+fn draining_host_gets_no_calls_past_the_drain_grace() {
     with_limiter(&[], |limiter| async move {
-        let (upstream, address) = (
-            limiter.upstream(),
-            "127.0.0.1:9".parse().expect("an address"),
-        );
+        let upstream = limiter.upstream();
+        let address = "127.0.0.1:9".parse().expect("an address");
         let entry = |state| HostEntry {
             host: HostId(5),
             state,
@@ -213,11 +231,13 @@
         let drained = limits_without_drain_grace(limiter.limits());
         upstream.update_host(&entry(HostState::Ready), address);
         assert_eq!(upstream.address(HostId(5), &drained), Some(address));
-        let parked = upstream.add_idle(HostId(5), address).expect("it may wait");
+        let parked = upstream
+            .add_idle(HostId(5), address)
+            .expect("the host is ready");
         upstream.retain_listed(&[]);
         assert_eq!(upstream.address(HostId(5), limiter.limits()), Some(address));
         assert_eq!(upstream.address(HostId(5), &drained), None);
-        // Its idle connections are let go, and it gets no new ones.
+        // Its idle connections are closed, and no new ones are kept.
         assert!(parked.next_call.await.is_err());
         assert!(upstream.add_idle(HostId(5), address).is_none());
         upstream.update_host(&entry(HostState::Ready), address);
@@ -225,14 +245,12 @@
     });
 }
 
-/// What is gone is forgotten once nothing may be sent there; what drains is not.
+/// Hosts that are gone are forgotten past the drain grace; draining hosts are not.
 #[test]
-fn hosts_that_are_gone_are_forgotten() {
+fn gone_hosts_are_forgotten_past_the_drain_grace() {
     with_limiter(&[], |limiter| async move {
-        let (upstream, address) = (
-            limiter.upstream(),
-            "127.0.0.1:9".parse().expect("an address"),
-        );
+        let upstream = limiter.upstream();
+        let address = "127.0.0.1:9".parse().expect("an address");
         let entry = |id, state| HostEntry {
             host: HostId(id),
             state,
@@ -245,7 +263,7 @@
         upstream.forget_gone_hosts(limiter.limits());
         assert!(
             (1..5).all(|id| upstream.contains_host(HostId(id))),
-            "what was decided before may still go out"
+            "calls decided before may still be sent"
         );
         upstream.forget_gone_hosts(&over);
         assert_eq!(
--- a/src/net/streaming_body/tests.rs
+++ b/src/net/streaming_body/tests.rs
@@ -1,12 +1,13 @@
-//! The bound of the buffer, and how its end is reported.
+//! The bound of the buffer, and the report of its end.
 
 use super::*;
 
 #[test]
-fn no_more_is_buffered_than_the_capacity_and_all_is_released() {
+fn buffer_keeps_to_its_capacity_and_is_released() {
     let buffered = Rc::new(Cell::new(0));
-    let (body, mut output, mut total) =
-        (StreamingBody::new(100, 8, buffered.clone()), Vec::new(), 0);
+    let body = StreamingBody::new(100, 8, buffered.clone());
+    let mut output = Vec::new();
+    let mut total = 0;
     assert_eq!(buffered.get(), 16);
     for _ in 0..10 {
         body.write(&vec![7; body.free_capacity()]);
@@ -31,8 +32,9 @@
 }
 
 #[test]
-fn a_failure_is_reported_after_what_was_written() {
-    let (body, mut output) = (StreamingBody::new(100, 8, Rc::default()), vec![0; 6]);
+fn failure_is_reported_after_the_written_bytes() {
+    let body = StreamingBody::new(100, 8, Rc::default());
+    let mut output = vec![0; 6];
     body.write(&[1, 2, 3]);
     body.fail();
     assert_eq!(
