--- a/crates/config/src/deployment/consistency.rs
+++ b/crates/config/src/deployment/consistency.rs
@@ -2,6 +2,7 @@
 
 use super::Deployment;
 use crate::fault::Faults;
+use crate::key_path::join;
 use crate::quantity::show_time;
 use crate::tree::Place;
 use quartzcleat_decision::api::{Class, Effect, Plan, Settings};
@@ -50,10 +51,10 @@
             faults,
         };
         for (index, class) in self.settings.classes.iter().enumerate() {
-            check.class(index, class);
+            check.class(&format!("categories.{index}"), class);
         }
         for (index, plan) in self.settings.plans.iter().enumerate() {
-            check.plan(index, plan);
+            check.plan(&format!("contracts.{index}"), plan);
         }
         check.limits(&self.settings);
         check.safety(&self.settings);
@@ -75,8 +76,9 @@
             .add(&self.deployment.file, place, key, contradiction);
     }
 
-    fn class(&mut self, index: usize, class: &Class) {
-        let key = |key: &str| format!("categories.{index}.{key}");
+    /// Checks a class, whose object has a path in the file.
+    fn class(&mut self, path: &str, class: &Class) {
+        let key = |key| join(path, key);
         if class.name.is_empty() {
             self.add(&key("name"), Contradiction::ClassWithoutName);
         }
@@ -93,8 +95,9 @@
         }
     }
 
-    fn plan(&mut self, index: usize, plan: &Plan) {
-        let key = |key: &str| format!("contracts.{index}.{key}");
+    /// Checks a plan, whose object has a path in the file.
+    fn plan(&mut self, path: &str, plan: &Plan) {
+        let key = |key| join(path, key);
         if plan.name.is_empty() {
             self.add(&key("name"), Contradiction::PlanWithoutName);
         }
