--- a/crates/config/src/lease/section.rs
+++ b/crates/config/src/lease/section.rs
@@ -1,7 +1,7 @@
 //! Reading and checking of the whole section.
 
 use super::limiters::read_limiters;
-use super::task::{read_task, take_duration};
+use super::task::read_task;
 use super::testing::{read_clock_fault, read_scheduled_crash};
 use super::{ClockFault, Lease, LeaseConfigError, ScheduledCrash, Task};
 use crate::fault::Faults;
@@ -9,6 +9,7 @@
 use crate::reader::{list, text, Alias, Reader};
 use crate::tree::Node;
 use std::collections::BTreeMap;
+use std::fmt::Display;
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
 use std::sync::Arc;
@@ -63,7 +64,7 @@
     fn read(file: &Arc<str>, reader: &mut Reader<'_>, faults: &mut Faults) -> Section {
         let limiter = reader.need("limiter", faults, text);
         let key_file = reader.need("key", faults, text);
-        let duration = take_duration(reader, "duration", faults);
+        let duration = reader.duration("duration", faults);
         let drift = reader.take("drift", faults, quantity::share);
         let scheduled_crash = reader
             .node("crash")
@@ -125,8 +126,8 @@
 }
 
 impl Check<'_, '_> {
-    fn add(&mut self, key: &str, problem: LeaseConfigError) {
-        self.reader.fault(key, problem.to_string(), self.faults);
+    fn add(&mut self, key: &str, problem: impl Display) {
+        self.reader.fault(key, problem, self.faults);
     }
 
     fn timing(&mut self, section: &Section) {
--- a/crates/expectations/src/history.rs
+++ b/crates/expectations/src/history.rs
@@ -24,6 +24,10 @@
 
 /// The hosts that a limiter knew when it sent an attempt: whether there was one of each kind.
 #[derive(Clone, Copy, Debug)]
+#[expect(
+    clippy::struct_excessive_bools,
+    reason = "four independent facts, no states of one thing"
+)]
 pub(crate) struct KnownHosts {
     pub(crate) has_draining: bool,
     pub(crate) has_gone: bool,
@@ -40,7 +44,7 @@
     pub(crate) host: HostIndex,
     pub(crate) is_host_warming_up: bool,
     pub(crate) is_cross_zone: bool,
-    /// What the limiter knew of the host.
+    /// The state of the host as the limiter knew it.
     pub(crate) known_state: Option<KnownState>,
     pub(crate) known_hosts: KnownHosts,
 }
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -1,6 +1,6 @@
 //! Leases for fleet-wide tasks: at most one limiter at a time may act for the whole fleet.
 //!
-//! The protocol is PaxosLease (Trencséni, Gazsó and Reinhardt, 2012). A [`Proposer`] asks a fixed, odd set of
+//! The protocol is `PaxosLease` (Trencséni, Gazsó and Reinhardt, 2012). A [`Proposer`] asks a fixed, odd set of
 //! [`Acceptor`]s, which keep their state in memory only. Every operation of a lease holder carries a [`FencingToken`]
 //! that only grows and that the target checks, and a [`Guard`] refuses to start an operation that may outlive the
 //! lease.
@@ -22,6 +22,6 @@
 pub use fencing::{BeginError, ExclusiveFence, HighestToken, StaleToken};
 pub use guard::{Guard, PermittedOperation};
 pub use message::{Ballot, Body, FencingToken, Message, MessageError, MAX_MESSAGE_BYTES};
-pub use proposer::{Phase, Proposer, ProposerConfig};
+pub use proposer::{AcceptorIndex, Phase, Proposer, ProposerConfig};
 pub use stagger::stagger_delay;
 pub use timing::{LeaseTiming, Nanos};
