--- a/crates/admin/src/class_indices.rs
+++ b/crates/admin/src/class_indices.rs
@@ -3,7 +3,7 @@
 //! Open requests carry an index, so the meaning of an index never changes while a request may carry it. A class that a
 //! reload leaves unchanged keeps its index, and with it the engine's measurements.
 
-use quartzcleat_decision::api::{Class, Nanos, Plan, Settings};
+use quartzcleat_decision::api::{Class, ClassIndex, Nanos, Plan, PlanIndex, Settings};
 
 #[cfg(test)]
 mod tests;
@@ -104,13 +104,10 @@
         }
     }
 
-    /// The indices whose names are accepted, one for each name. An entry in force precedes one that was removed a
+    /// The positions whose names are accepted, one for each name. An entry in force precedes one that was removed a
     /// moment ago.
-    fn accepted(&self, now: Nanos) -> Vec<u32> {
-        (0..self.entries.len())
-            .filter(|index| self.is_accepted(*index, now))
-            .map(|index| index as u32)
-            .collect()
+    fn accepted(&self, now: Nanos) -> impl Iterator<Item = usize> + use<'_, T> {
+        (0..self.entries.len()).filter(move |position| self.is_accepted(*position, now))
     }
 
     fn is_accepted(&self, index: usize, now: Nanos) -> bool {
@@ -128,9 +125,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct AcceptedIndices {
     /// Of classes.
-    pub classes: Vec<u32>,
+    pub classes: Vec<ClassIndex>,
     /// Of plans.
-    pub plans: Vec<u32>,
+    pub plans: Vec<PlanIndex>,
 }
 
 /// The classes and plans that have an index.
@@ -167,9 +164,11 @@
     /// The indices of the classes and plans whose names are accepted at a moment.
     #[must_use]
     pub fn accepted(&self, now: Nanos) -> AcceptedIndices {
+        let classes = self.classes.accepted(now);
+        let plans = self.plans.accepted(now);
         AcceptedIndices {
-            classes: self.classes.accepted(now),
-            plans: self.plans.accepted(now),
+            classes: classes.map(ClassIndex::from_usize).collect(),
+            plans: plans.map(PlanIndex::from_usize).collect(),
         }
     }
 
--- a/crates/admin/src/class_indices/tests.rs
+++ b/crates/admin/src/class_indices/tests.rs
@@ -30,10 +30,10 @@
         .map(|class| (class.name.as_str(), class.effect))
         .collect();
     assert_eq!(names, [check, hold, strict, ("new", Effect::Unsafe)]);
-    assert_eq!(indices.accepted(11).classes, [0, 2, 3]);
+    assert_eq!(indices.accepted(11).classes, [0, 2, 3].map(ClassIndex));
     assert_eq!(
         indices.accepted(10 + ACCEPTED_AFTER_REMOVAL).classes,
-        [2, 3]
+        [2, 3].map(ClassIndex)
     );
     // A class that returns unchanged gets its index back; an index that no request can carry any more is free.
     assert_eq!(
@@ -42,7 +42,7 @@
     );
     assert_eq!(
         indices.accepted(20 + ACCEPTED_AFTER_REMOVAL).classes,
-        [0, 2]
+        [0, 2].map(ClassIndex)
     );
     let late = 20 + 4 * ACCEPTED_AFTER_REMOVAL + IN_USE_AFTER_DEADLINE;
     let table = indices.apply(
--- a/src/net/engine/host_call.rs
+++ b/src/net/engine/host_call.rs
@@ -1,7 +1,7 @@
 //! A command on its way to a host: an attempt of a request, or a health check.
 
 use super::request::Payload;
-use crate::api::{CustomerId, HostId, RequestId};
+use crate::api::{AttemptIndex, CustomerId, HostId, RequestId};
 use std::cell::Cell;
 use std::rc::Rc;
 use tokio::sync::Notify;
@@ -14,8 +14,8 @@
     Attempt {
         /// The request.
         id: RequestId,
-        /// The attempt's number, from zero.
-        attempt: u32,
+        /// The attempt's index.
+        attempt: AttemptIndex,
         /// The arguments for the host.
         payload: Rc<Payload>,
         /// The charge of the request.
--- a/src/net/engine/open_requests.rs
+++ b/src/net/engine/open_requests.rs
@@ -2,7 +2,7 @@
 
 use super::host_call::{Cancellation, Charge, HostCall, HostCommand};
 use super::request::{Frontend, Payload, Request};
-use crate::api::{HostId, Nanos, RequestId};
+use crate::api::{AttemptIndex, HostId, Nanos, RequestId};
 use crate::net::config::Limits;
 use std::cell::Cell;
 use std::collections::HashMap;
@@ -16,8 +16,8 @@
 pub struct AttemptId {
     /// The request.
     pub request: RequestId,
-    /// The attempt's number, from zero.
-    pub attempt: u32,
+    /// The attempt's index.
+    pub attempt: AttemptIndex,
 }
 
 /// An attempt as the decision engine orders it.
@@ -53,8 +53,8 @@
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 #[error("attempt {attempt} must not be made")]
 pub struct AttemptNotAllowed {
-    /// The attempt's number, from zero.
-    pub attempt: u32,
+    /// The attempt's index.
+    pub attempt: AttemptIndex,
 }
 
 /// The recipient of the answer to a request.
@@ -70,7 +70,12 @@
     payload: Rc<Payload>,
     charge: Charge,
     deadline: Instant,
-    attempts: u32,
+    attempt_count: u32,
+}
+
+/// The indices of the first attempts of a request.
+fn attempt_indices(count: u32) -> impl Iterator<Item = AttemptIndex> {
+    (0..count).map(AttemptIndex)
 }
 
 /// All requests without a final answer, and all attempts in flight.
@@ -122,7 +127,7 @@
             };
             self.in_flight.contains_key(&attempt_id)
         };
-        self.requests.contains_key(&id) || (0..self.highest_max_attempts).any(in_flight)
+        self.requests.contains_key(&id) || attempt_indices(self.highest_max_attempts).any(in_flight)
     }
 
     /// Whether a request is open.
@@ -149,7 +154,7 @@
                 units: request.units,
             },
             deadline,
-            attempts: 0,
+            attempt_count: 0,
         };
         self.requests.insert(request.id, open);
         deadline
@@ -161,7 +166,7 @@
     /// and no attempt may begin for a request that is closed.
     pub fn close(&mut self, id: RequestId) -> Option<ReplyTo> {
         let open = self.requests.remove(&id)?;
-        for attempt in 0..open.attempts {
+        for attempt in attempt_indices(open.attempt_count) {
             let attempt_id = AttemptId {
                 request: id,
                 attempt,
@@ -197,11 +202,13 @@
         now: Instant,
     ) -> Result<HostCall, AttemptNotAllowed> {
         let Some(open) = self.requests.get_mut(&order.id) else {
-            return Err(AttemptNotAllowed { attempt: 0 });
+            return Err(AttemptNotAllowed {
+                attempt: AttemptIndex::default(),
+            });
         };
-        let attempt = open.attempts;
-        open.attempts += 1;
-        if attempt >= self.max_attempts || now >= open.deadline {
+        let attempt = AttemptIndex(open.attempt_count);
+        open.attempt_count += 1;
+        if attempt.0 >= self.max_attempts || now >= open.deadline {
             return Err(AttemptNotAllowed { attempt });
         }
         let deadline = order.deadline(now, open.deadline);
--- a/src/net/engine/request.rs
+++ b/src/net/engine/request.rs
@@ -1,6 +1,6 @@
 //! A client's request as a frontend hands it in, and its one final answer.
 
-use crate::api::{CustomerId, RequestId};
+use crate::api::{ClassIndex, CustomerId, LimiterIndex, PlanIndex, RequestId};
 use crate::net::streaming_body::StreamingBody;
 use std::ops::Range;
 use std::rc::Rc;
@@ -45,18 +45,18 @@
 pub struct Request {
     /// The request's id.
     pub id: RequestId,
-    /// Index of its class; past the last one where the class is not known.
-    pub class: u32,
-    /// Index of its plan; past the last one where the plan is not known.
-    pub plan: u32,
+    /// Its class; past the last one where the class is not known.
+    pub class: ClassIndex,
+    /// Its plan; past the last one where the plan is not known.
+    pub plan: PlanIndex,
     /// Its customer.
     pub customer: CustomerId,
     /// The units that it takes from the quota.
     pub units: f64,
     /// How many limiters the customer's requests may arrive through.
     pub spread: u32,
-    /// Index of the first of these limiters.
-    pub first_limiter: u32,
+    /// The first of these limiters.
+    pub first_limiter: LimiterIndex,
     /// Flags as received; they decide nothing.
     pub flags: u64,
     /// How long the client waits.
--- a/src/net/engine/tests.rs
+++ b/src/net/engine/tests.rs
@@ -1,7 +1,7 @@
 //! The clock, the bounds of attempts, and a frontend and a request that other modules' tests use.
 
 use super::*;
-use crate::api::{CustomerId, HostId};
+use crate::api::{AttemptIndex, ClassIndex, CustomerId, HostId, LimiterIndex, PlanIndex};
 use crate::net::tests::with_limiter;
 use std::time::Duration;
 
@@ -59,12 +59,12 @@
 pub(crate) fn request(id: u64) -> Request {
     Request {
         id: RequestId(id),
-        class: 0,
-        plan: 1,
+        class: ClassIndex(0),
+        plan: PlanIndex(1),
         customer: CustomerId(7),
         units: 1.0,
         spread: 1,
-        first_limiter: 0,
+        first_limiter: LimiterIndex(0),
         flags: 0,
         wait: Duration::from_millis(900),
         payload: Payload {
@@ -116,7 +116,11 @@
             };
             assert_eq!(call.deadline, expected);
         }
-        let not_allowed = |attempt| Some(AttemptNotAllowed { attempt });
+        let not_allowed = |attempt| {
+            Some(AttemptNotAllowed {
+                attempt: AttemptIndex(attempt),
+            })
+        };
         assert_eq!(requests.begin_attempt(order(1), now).err(), not_allowed(4));
         requests.open(no_reply(), &mut request(2), now);
         assert_eq!(
@@ -130,7 +134,7 @@
         for attempt in 0..4 {
             requests.end_attempt(AttemptId {
                 request: RequestId(1),
-                attempt,
+                attempt: AttemptIndex(attempt),
             });
         }
         assert!(!requests.contains(RequestId(1)));
--- a/src/net/reload/race_tests.rs
+++ b/src/net/reload/race_tests.rs
@@ -1,6 +1,6 @@
 //! Settings that change while requests are open: no class or plan gets the index or the name of another one.
 
-use crate::api::{Event, HostId, Outcome, ReportSource};
+use crate::api::{ClassIndex, Event, HostId, Outcome, ReportSource};
 use crate::net::config;
 use crate::net::engine::tests::{attempt_order, no_reply, request};
 use crate::net::engine::{HostCall, HostCommand};
@@ -78,7 +78,10 @@
             let catalog = limiter.reloader().active_config.catalog.borrow();
             catalog.class(name).map(|entry| entry.index)
         };
-        assert_eq!((named("bed-check"), named("bed-hold")), (Some(0), Some(1)));
+        assert_eq!(
+            (named("bed-check"), named("bed-hold")),
+            (Some(ClassIndex(0)), Some(ClassIndex(1)))
+        );
         // The two classes exchange their names.
         let new = TOY
             .replace("bed-check", "x")
@@ -96,9 +99,12 @@
         );
         let check = named("bed-check").expect("accepted");
         let hold = named("bed-hold").expect("accepted");
-        assert!(check > 1 && hold > 1, "new terms have new indices");
-        let check = &settings.classes[check as usize];
-        let hold = &settings.classes[hold as usize];
+        assert!(
+            check > ClassIndex(1) && hold > ClassIndex(1),
+            "new terms have new indices"
+        );
+        let check = &settings.classes[check.as_usize()];
+        let hold = &settings.classes[hold.as_usize()];
         assert_eq!(
             (check.effect, check.deadline),
             (old.classes[1].effect, old.classes[1].deadline)
@@ -113,6 +119,9 @@
             panic!("the engine gets the settings")
         };
         assert_eq!(settings.classes[..2], old.classes[..]);
-        assert_eq!((named("bed-check"), named("bed-hold")), (Some(0), Some(1)));
+        assert_eq!(
+            (named("bed-check"), named("bed-hold")),
+            (Some(ClassIndex(0)), Some(ClassIndex(1)))
+        );
     });
 }
--- a/src/net/reload/tests.rs
+++ b/src/net/reload/tests.rs
@@ -1,6 +1,7 @@
 //! A sound configuration is applied as a whole, and a faulty one changes nothing.
 
 use super::*;
+use crate::api::ClassIndex;
 use crate::net::tests::with_limiter;
 use crate::net::Limiter;
 use proptest::prelude::*;
@@ -48,7 +49,10 @@
             let catalog = limiter.reloader().active_config.catalog.borrow();
             catalog.class(name).map(|entry| entry.index)
         };
-        assert_eq!((index("bed-hold"), index("hut-hold")), (Some(1), Some(2)));
+        assert_eq!(
+            (index("bed-hold"), index("hut-hold")),
+            (Some(ClassIndex(1)), Some(ClassIndex(2)))
+        );
         let later = limiter
             .reloader()
             .active_config
@@ -61,7 +65,10 @@
             .catalog
             .borrow_mut()
             .retain(&later);
-        assert_eq!((index("bed-hold"), index("hut-hold")), (None, Some(2)));
+        assert_eq!(
+            (index("bed-hold"), index("hut-hold")),
+            (None, Some(ClassIndex(2)))
+        );
     });
 }
 
--- a/src/net/resp/downstream/request_catalog.rs
+++ b/src/net/resp/downstream/request_catalog.rs
@@ -1,13 +1,13 @@
 //! The classes, plans and quantities that a request may contain, by the configuration in force.
 
-use crate::api::{Class, Settings};
+use crate::api::{Class, ClassIndex, LimiterIndex, PlanIndex, Settings};
 use quartzcleat_admin::AcceptedIndices;
 
 /// A class whose name is accepted.
 #[derive(Clone, Debug)]
 pub struct CatalogClass {
     /// The class's index.
-    pub index: u32,
+    pub index: ClassIndex,
     /// The class.
     pub class: Class,
 }
@@ -15,7 +15,7 @@
 /// A plan whose name is accepted.
 #[derive(Clone, Debug)]
 struct CatalogPlan {
-    index: u32,
+    index: PlanIndex,
     name: String,
 }
 
@@ -35,11 +35,11 @@
     pub fn new(settings: &Settings, accepted: &AcceptedIndices) -> Self {
         let classes = accepted.classes.iter().map(|&index| CatalogClass {
             index,
-            class: settings.classes[index as usize].clone(),
+            class: settings.classes[index.as_usize()].clone(),
         });
         let plans = accepted.plans.iter().map(|&index| CatalogPlan {
             index,
-            name: settings.plans[index as usize].name.clone(),
+            name: settings.plans[index.as_usize()].name.clone(),
         });
         let max_units = settings.units.largest_request;
         RequestCatalog {
@@ -64,7 +64,7 @@
     }
 
     /// The index of a plan's name.
-    pub fn plan(&self, name: &str) -> Option<u32> {
+    pub fn plan(&self, name: &str) -> Option<PlanIndex> {
         let plan = self.plans.iter().find(|entry| entry.name == name);
         plan.map(|entry| entry.index)
     }
@@ -79,8 +79,8 @@
         (1..=self.limiter_count).contains(&spread)
     }
 
-    /// Whether there is a limiter of this index.
-    pub fn accepts_limiter(&self, index: u32) -> bool {
-        index < self.limiter_count
+    /// Whether there is this limiter.
+    pub fn accepts_limiter(&self, limiter: LimiterIndex) -> bool {
+        limiter.0 < self.limiter_count
     }
 }
--- a/src/net/resp/downstream/request_facts.rs
+++ b/src/net/resp/downstream/request_facts.rs
@@ -2,6 +2,7 @@
 
 use super::command_error::CommandError;
 use super::request_catalog::{CatalogClass, RequestCatalog};
+use crate::api::{LimiterIndex, PlanIndex};
 use std::ops::Range;
 use std::time::Duration;
 
@@ -19,16 +20,16 @@
 pub(super) struct RequestFacts<'a> {
     /// `c`: the class.
     pub(super) class: &'a CatalogClass,
-    /// `t`: the index of the plan.
-    pub(super) plan: u32,
+    /// `t`: the plan.
+    pub(super) plan: PlanIndex,
     /// `d`: how long the client waits.
     pub(super) wait: WaitFact,
     /// `units`: the units that the request takes from the quota.
     pub(super) units: f64,
     /// `spread`: how many limiters the customer's requests may arrive through.
     pub(super) spread: u32,
-    /// `first`: the index of the first of these limiters.
-    pub(super) first_limiter: u32,
+    /// `first`: the first of these limiters.
+    pub(super) first_limiter: LimiterIndex,
     /// `k`: there is an idempotency key.
     pub(super) has_key: bool,
     /// `r`: the request is a client's retry.
@@ -62,13 +63,13 @@
 #[derive(Default)]
 struct ReceivedFacts<'a> {
     class: Option<&'a CatalogClass>,
-    plan: Option<u32>,
+    plan: Option<PlanIndex>,
     wait: Option<WaitFact>,
     has_key: bool,
     is_retry: bool,
     units: Option<f64>,
     spread: Option<u32>,
-    first_limiter: Option<u32>,
+    first_limiter: Option<LimiterIndex>,
 }
 
 impl<'a> ReceivedFacts<'a> {
@@ -91,7 +92,8 @@
             }
             "spread" => self.spread = number.filter(|spread| catalog.accepts_spread(*spread)),
             "first" => {
-                self.first_limiter = number.filter(|index| catalog.accepts_limiter(*index));
+                let limiter = number.map(LimiterIndex);
+                self.first_limiter = limiter.filter(|limiter| catalog.accepts_limiter(*limiter));
             }
             "r" if value == "1" => self.is_retry = true,
             _ => {}
--- a/src/net/resp/upstream/tests.rs
+++ b/src/net/resp/upstream/tests.rs
@@ -1,7 +1,9 @@
 //! Commands, replies, and the connections that carry calls.
 
 use super::*;
-use crate::api::{CustomerId, HostEntry, HostId, HostState, Outcome, ReportSource, RequestId};
+use crate::api::{
+    AttemptIndex, CustomerId, HostEntry, HostId, HostState, Outcome, ReportSource, RequestId,
+};
 use crate::net::config::Limits;
 use crate::net::engine::tests::{attempt_order, no_reply, request};
 use crate::net::engine::UsageFigures;
@@ -110,7 +112,7 @@
             units: 1.0,
         },
         id: RequestId(1),
-        attempt: 0,
+        attempt: AttemptIndex(0),
         payload: Rc::new(request(1).payload),
     }
 }
--- a/src/net/stages/admit.rs
+++ b/src/net/stages/admit.rs
@@ -2,7 +2,7 @@
 
 use super::complete;
 use super::pipeline::Pipeline;
-use crate::api::{ClassIndex, Event, LimiterIndex, PlanIndex};
+use crate::api::Event;
 use crate::net::engine::Request;
 use crate::net::task::spawn;
 use std::rc::Rc;
@@ -13,13 +13,13 @@
     let id = request.id;
     pipeline.engine.handle(Event::Request {
         id,
-        class: ClassIndex(request.class),
-        plan: PlanIndex(request.plan),
+        class: request.class,
+        plan: request.plan,
         customer: request.customer,
         budget: request.wait.as_nanos() as u64,
         units: request.units,
         spread: request.spread,
-        first_limiter: LimiterIndex(request.first_limiter),
+        first_limiter: request.first_limiter,
         flags: request.flags,
     });
     // A request that the engine never answers is failed shortly before its deadline.
--- a/src/net/stages/attempt.rs
+++ b/src/net/stages/attempt.rs
@@ -128,7 +128,7 @@
     if let HostCommand::Attempt { id, attempt, .. } = &call.command {
         tracing::debug!(
             request = format_args!("{:016x}", id.0),
-            attempt,
+            attempt = attempt.0,
             host = call.host.0,
             elapsed = ?call.started_at.elapsed(),
             "attempt written"
--- a/src/net/stages/complete.rs
+++ b/src/net/stages/complete.rs
@@ -1,7 +1,7 @@
 //! Last stage: the end of a call is reported to the decision engine and, where it ends the request, to its client.
 
 use super::pipeline::Pipeline;
-use crate::api::{AttemptIndex, Event, HostId, Nanos, Outcome, RequestId};
+use crate::api::{Event, HostId, Nanos, Outcome, RequestId};
 use crate::net::engine::{Answer, AttemptId, CallResult, HostCall, HostCommand};
 use crate::net::streaming_body::StreamingBody;
 use std::rc::Rc;
@@ -61,7 +61,7 @@
     if delivery == Delivery::Delivered {
         pipeline.engine.handle(Event::StreamStarted {
             id,
-            attempt: AttemptIndex(attempt),
+            attempt,
             host: call.host,
             elapsed: elapsed(call),
         });
@@ -107,7 +107,7 @@
     }
     pipeline.engine.handle(Event::AttemptDone {
         id,
-        attempt: AttemptIndex(attempt),
+        attempt,
         host: call.host,
         outcome: result.outcome,
         elapsed,
@@ -122,7 +122,7 @@
 fn log_end(attempt_id: AttemptId, host: HostId, outcome: Outcome, call: &HostCall) {
     tracing::debug!(
         request = format_args!("{:016x}", attempt_id.request.0),
-        attempt = attempt_id.attempt,
+        attempt = attempt_id.attempt.0,
         host = host.0,
         ?outcome,
         elapsed = ?call.started_at.elapsed(),
--- a/src/net/stages/complete/tests.rs
+++ b/src/net/stages/complete/tests.rs
@@ -1,6 +1,7 @@
 //! One request gets one answer.
 
 use super::*;
+use crate::api::AttemptIndex;
 
 use crate::net::engine::tests::{attempt_order, reply_to, request, RecordingFrontend};
 use crate::net::engine::UsageFigures;
--- a/src/net/stages/route.rs
+++ b/src/net/stages/route.rs
@@ -29,7 +29,7 @@
         Action::CancelAttempt { id, attempt } => {
             let attempt_id = AttemptId {
                 request: id,
-                attempt: attempt.0,
+                attempt,
             };
             pipeline.engine.cancel_attempt(attempt_id);
         }
@@ -75,9 +75,8 @@
     }
 }
 
-fn report_never_sent(pipeline: &Pipeline, order: AttemptOrder, attempt: u32) {
+fn report_never_sent(pipeline: &Pipeline, order: AttemptOrder, attempt: AttemptIndex) {
     let AttemptOrder { id, host, .. } = order;
-    let attempt = AttemptIndex(attempt);
     pipeline
         .engine
         .handle(Event::attempt_never_sent(id, attempt, host));
