--- a/src/net/admin/http.rs
+++ b/src/net/admin/http.rs
@@ -7,7 +7,7 @@
 const MAX_HEADERS: usize = 64;
 
 /// Parses the request in `bytes`; `None` where it is incomplete. Head and body are `max_bytes` long at most each.
-pub fn parse(bytes: &[u8], max_bytes: usize) -> Option<Result<AdminRequest, RequestError>> {
+pub(super) fn parse(bytes: &[u8], max_bytes: usize) -> Option<Result<AdminRequest, RequestError>> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
     let head_length = match head.parse(bytes) {
@@ -47,7 +47,7 @@
 }
 
 /// A response with a status and one sentence.
-pub fn encode(status: u16, text: &str) -> String {
+pub(super) fn encode(status: u16, text: &str) -> String {
     let body = json!({ "ok": status < 300, "text": text }).to_string();
     let reason = reason(status);
     let length = body.len();
--- a/src/net/counter/answer.rs
+++ b/src/net/counter/answer.rs
@@ -7,7 +7,7 @@
 
 /// How a call ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct CallOutcome {
+pub(super) struct CallOutcome {
     /// The outcome.
     pub outcome: Outcome,
     /// The total after a good call.
@@ -16,7 +16,7 @@
 
 impl CallOutcome {
     /// The end of a call without a total.
-    pub fn failed(outcome: Outcome) -> Self {
+    pub(super) fn failed(outcome: Outcome) -> Self {
         CallOutcome {
             outcome,
             total: 0.0,
@@ -26,7 +26,7 @@
 
 /// An answer at the start of the bytes received.
 #[derive(Debug)]
-pub struct CounterAnswer {
+pub(super) struct CounterAnswer {
     /// How the call ended.
     pub outcome: CallOutcome,
     /// Length of the answer, in bytes.
@@ -36,7 +36,7 @@
 /// The bytes received are no answer of a counter.
 #[derive(Debug, Error)]
 #[error("malformed answer of the counter")]
-pub struct MalformedAnswer;
+pub(super) struct MalformedAnswer;
 
 /// Parses the answer at the start of `input`; `None` where it is incomplete.
 ///
@@ -45,7 +45,7 @@
 ///
 /// # Errors
 /// The bytes are no answer: the call may have been added.
-pub fn parse_answer(
+pub(super) fn parse_answer(
     input: &[u8],
     limits: &Limits,
 ) -> Result<Option<CounterAnswer>, MalformedAnswer> {
--- a/src/net/counter/call_queue.rs
+++ b/src/net/counter/call_queue.rs
@@ -67,10 +67,10 @@
 }
 
 /// When any of the links was last answered.
-pub type LastAnswered = Rc<Cell<Option<Instant>>>;
+pub(super) type LastAnswered = Rc<Cell<Option<Instant>>>;
 
 /// Calls in their order, whichever connection each of them is written to.
-pub struct CallQueue {
+pub(super) struct CallQueue {
     calls: RefCell<VecDeque<CounterCall>>,
     /// How many calls have been reported: the number of the first one in the queue.
     reported: Cell<u64>,
@@ -82,7 +82,7 @@
 
 impl CallQueue {
     /// A queue without calls.
-    pub fn new(last_answered: LastAnswered) -> Self {
+    pub(super) fn new(last_answered: LastAnswered) -> Self {
         CallQueue {
             calls: RefCell::default(),
             reported: Cell::default(),
@@ -92,7 +92,7 @@
     }
 
     /// Adds a call. Past the limit the call is not made, but keeps its place: its end is reported behind the others.
-    pub fn push(&self, name: String, amount: f64, keep_for: Nanos, limits: &Limits) {
+    pub(super) fn push(&self, name: String, amount: f64, keep_for: Nanos, limits: &Limits) {
         let mut calls = self.calls.borrow_mut();
         let has_capacity = calls.len() < limits.counter.max_pending_calls;
         let state = if has_capacity {
@@ -112,7 +112,7 @@
     }
 
     /// Waits until the first call has timed out.
-    pub async fn wait_for_timeout(&self, limits: &Limits) {
+    pub(super) async fn wait_for_timeout(&self, limits: &Limits) {
         let first = self.calls.borrow().front().map(|call| call.started_at);
         match first {
             Some(started_at) => sleep_until(started_at + limits.counter.call_timeout.get()).await,
@@ -121,7 +121,7 @@
     }
 
     /// Ends the calls that have timed out, and reports.
-    pub fn expire(&self, limits: &Limits, engine: &EngineDriver) {
+    pub(super) fn expire(&self, limits: &Limits, engine: &EngineDriver) {
         let now = Instant::now();
         for call in self.calls.borrow_mut().iter_mut() {
             if call.started_at + limits.counter.call_timeout.get() > now {
@@ -134,7 +134,7 @@
 
     /// Reports the first calls, as far as they have ended. The engine identifies calls by their order, so that a call
     /// that has ended waits for the calls before it.
-    pub fn report(&self, engine: &EngineDriver) {
+    pub(super) fn report(&self, engine: &EngineDriver) {
         while let Some(event) = self.take_ended() {
             engine.handle(event);
         }
@@ -152,7 +152,7 @@
     }
 
     /// Records the end of a call, unless it has ended.
-    pub fn record(&self, number: u64, outcome: CallOutcome) {
+    pub(super) fn record(&self, number: u64, outcome: CallOutcome) {
         let Some(index) = number.checked_sub(self.reported.get()) else {
             return;
         };
@@ -163,7 +163,7 @@
 
     /// Ends the calls on a connection that is of no more use, and reports. Calls whose last byte was never written
     /// were not added; the others may have been, as after a timeout.
-    pub fn abandon(&self, connection: CounterConnection, engine: &EngineDriver) {
+    pub(super) fn abandon(&self, connection: CounterConnection, engine: &EngineDriver) {
         for call in &connection.unanswered {
             let outcome = if connection.has_written(call) {
                 Outcome::Timeout
@@ -177,7 +177,7 @@
     }
 
     /// Writes all calls that wait to a connection's output.
-    pub fn move_to(&self, connection: &mut CounterConnection) {
+    pub(super) fn move_to(&self, connection: &mut CounterConnection) {
         let first = self.reported.get();
         for (number, call) in (first..).zip(self.calls.borrow_mut().iter_mut()) {
             if let CallState::Waiting { command } = &mut call.state {
@@ -189,7 +189,7 @@
 
     /// Whether there are calls without an end.
     #[cfg(test)]
-    pub fn is_empty(&self) -> bool {
+    pub(super) fn is_empty(&self) -> bool {
         self.calls.borrow().is_empty()
     }
 }
--- a/src/net/counter/connection.rs
+++ b/src/net/counter/connection.rs
@@ -8,7 +8,7 @@
 use tokio::net::TcpStream;
 
 /// A call whose command was written, or is about to be.
-pub struct WrittenCall {
+pub(super) struct WrittenCall {
     /// The call's number in its queue.
     pub number: u64,
     /// How many bytes the connection has carried once the call's last byte is written.
@@ -16,7 +16,7 @@
 }
 
 /// A connection to the counter.
-pub struct CounterConnection {
+pub(super) struct CounterConnection {
     /// The socket.
     pub stream: TcpStream,
     /// Bytes received and not parsed yet.
@@ -33,7 +33,7 @@
 
 impl CounterConnection {
     /// A fresh connection.
-    pub fn new(stream: TcpStream) -> Self {
+    pub(super) fn new(stream: TcpStream) -> Self {
         CounterConnection {
             stream,
             input: Vec::new(),
@@ -45,7 +45,7 @@
     }
 
     /// Appends a call to the bytes to be written.
-    pub fn append(&mut self, number: u64, command: &mut Vec<u8>) {
+    pub(super) fn append(&mut self, number: u64, command: &mut Vec<u8>) {
         self.output.append(command);
         self.unanswered.push_back(WrittenCall {
             number,
@@ -54,7 +54,7 @@
     }
 
     /// Whether calls wait for an answer, and whether others were answered before.
-    pub fn call_progress(&self) -> CallProgress {
+    pub(super) fn call_progress(&self) -> CallProgress {
         if self.unanswered.is_empty() {
             CallProgress::NoneWaiting
         } else if self.has_answered {
@@ -65,7 +65,7 @@
     }
 
     /// Whether the last byte of a call has been written.
-    pub fn has_written(&self, call: &WrittenCall) -> bool {
+    pub(super) fn has_written(&self, call: &WrittenCall) -> bool {
         call.end <= self.flushed
     }
 
@@ -73,7 +73,7 @@
     ///
     /// # Errors
     /// The connection is broken.
-    pub fn flush(&mut self, limits: &Limits) -> io::Result<()> {
+    pub(super) fn flush(&mut self, limits: &Limits) -> io::Result<()> {
         while !self.output.is_empty() {
             match self.stream.try_write(&self.output) {
                 Ok(count) => {
--- a/src/net/counter/drain.rs
+++ b/src/net/counter/drain.rs
@@ -10,7 +10,7 @@
 use tokio::time::timeout;
 
 /// Serves a connection until all its calls are answered, or have timed out.
-pub async fn drain(
+pub(super) async fn drain(
     client: Rc<CounterClient>,
     queue: Rc<CallQueue>,
     mut connection: CounterConnection,
--- a/src/net/counter/link.rs
+++ b/src/net/counter/link.rs
@@ -54,7 +54,7 @@
 }
 
 /// A queue of calls and the connection that they are written to.
-pub struct Link {
+pub(super) struct Link {
     client: Rc<CounterClient>,
     queue: Rc<CallQueue>,
     addresses: watch::Receiver<Addresses>,
@@ -62,7 +62,7 @@
 
 impl Link {
     /// A link without a connection.
-    pub fn new(client: Rc<CounterClient>, queue: Rc<CallQueue>) -> Self {
+    pub(super) fn new(client: Rc<CounterClient>, queue: Rc<CallQueue>) -> Self {
         let addresses = client.addresses.clone();
         Link {
             client,
@@ -76,7 +76,7 @@
     }
 
     /// Keeps a connection up for good, and reports calls in time while there is none.
-    pub async fn run(mut self) {
+    pub(super) async fn run(mut self) {
         loop {
             let Some(address) = self.addresses.borrow_and_update().counter else {
                 // Without a sender the address never changes again; the process is ending.
--- a/src/net/counter/liveness.rs
+++ b/src/net/counter/liveness.rs
@@ -14,7 +14,7 @@
 
 /// The state of a connection to the counter, with its deadlines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ConnectionState {
+pub(super) enum ConnectionState {
     /// No call waits for an answer.
     Idle {
         /// The connection is closed then.
@@ -50,7 +50,7 @@
 
 /// The consequence of a deadline that has passed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum DeadlineVerdict {
+pub(super) enum DeadlineVerdict {
     /// It is closed: it had nothing to do for long.
     Close,
     /// It is given up: it was silent for too long.
@@ -61,7 +61,7 @@
 
 impl ConnectionState {
     /// The end of the state, unless the connection makes progress before.
-    pub fn deadline(&self) -> Instant {
+    pub(super) fn deadline(&self) -> Instant {
         match *self {
             ConnectionState::Idle { close_at } => close_at,
             ConnectionState::ReceivingAnswer { fail_at }
@@ -75,7 +75,7 @@
     }
 
     /// The consequence once [`Self::deadline`] has passed.
-    pub fn verdict_at_deadline(&self) -> DeadlineVerdict {
+    pub(super) fn verdict_at_deadline(&self) -> DeadlineVerdict {
         match self {
             ConnectionState::Idle { .. } => DeadlineVerdict::Close,
             ConnectionState::AwaitingAnswer {
@@ -92,7 +92,7 @@
 
 /// The calls of a connection, as far as its state follows from them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CallProgress {
+pub(super) enum CallProgress {
     /// No call waits for an answer.
     NoneWaiting,
     /// Calls wait, and none was ever answered on the connection.
@@ -103,7 +103,7 @@
 
 /// The durations after which a connection is closed or given up.
 #[derive(Clone, Copy, Debug)]
-pub struct LivenessTimeouts {
+pub(super) struct LivenessTimeouts {
     call: Duration,
     silence: Duration,
     idle: Duration,
@@ -111,7 +111,7 @@
 
 impl LivenessTimeouts {
     /// The timeouts of the configuration in force.
-    pub fn from_limits(limits: &Limits) -> Self {
+    pub(super) fn from_limits(limits: &Limits) -> Self {
         LivenessTimeouts {
             call: limits.counter.call_timeout.get(),
             silence: limits.counter.silence_timeout,
@@ -122,7 +122,7 @@
 
 /// The moments from which the deadlines of a connection run.
 #[derive(Clone, Copy, Debug)]
-pub struct Liveness {
+pub(super) struct Liveness {
     /// When bytes were last received, or the connection last had nothing to do.
     last_progress: Instant,
     /// When the answer began that is not complete yet.
@@ -131,7 +131,7 @@
 
 impl Liveness {
     /// A connection that was opened at a moment.
-    pub fn new(now: Instant) -> Self {
+    pub(super) fn new(now: Instant) -> Self {
         Liveness {
             last_progress: now,
             answer_began: None,
@@ -139,22 +139,22 @@
     }
 
     /// Records that the connection makes progress.
-    pub fn record_progress(&mut self, now: Instant) {
+    pub(super) fn record_progress(&mut self, now: Instant) {
         self.last_progress = now;
     }
 
     /// Records that a part of an answer waits for the remaining part.
-    pub fn record_partial_answer(&mut self, now: Instant) {
+    pub(super) fn record_partial_answer(&mut self, now: Instant) {
         self.answer_began.get_or_insert(now);
     }
 
     /// Records that no part of an answer waits for the remaining part.
-    pub fn record_complete_answers(&mut self) {
+    pub(super) fn record_complete_answers(&mut self) {
         self.answer_began = None;
     }
 
     /// The state at a moment.
-    pub fn state(
+    pub(super) fn state(
         &self,
         calls: CallProgress,
         timeouts: LivenessTimeouts,
--- a/src/net/counter/receive.rs
+++ b/src/net/counter/receive.rs
@@ -13,7 +13,7 @@
 
 /// A connection carries bytes that answer none of its calls, and is of no more use.
 #[derive(Debug, Error)]
-pub enum AnswerError {
+pub(super) enum AnswerError {
     /// The bytes are malformed: their call may have been added.
     #[error(transparent)]
     Malformed(#[from] MalformedAnswer),
@@ -24,7 +24,7 @@
 
 /// The answers that lay unread on a connection that seemed silent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum UnreadAnswers {
+pub(super) enum UnreadAnswers {
     /// Bytes were read, and their answers recorded.
     Received,
     /// Nothing lay there.
@@ -37,7 +37,7 @@
 ///
 /// # Errors
 /// The bytes received do not answer the calls of the connection.
-pub fn record_answers(
+pub(super) fn record_answers(
     client: &CounterClient,
     queue: &CallQueue,
     connection: &mut CounterConnection,
@@ -70,7 +70,7 @@
 
 /// Records the answers that lie unread on a connection that seems silent: after the process was suspended, all answers
 /// lie there.
-pub fn record_unread_answers(
+pub(super) fn record_unread_answers(
     client: &CounterClient,
     queue: &CallQueue,
     connection: &mut CounterConnection,
--- a/src/net/discovery/connection.rs
+++ b/src/net/discovery/connection.rs
@@ -17,7 +17,7 @@
 
 /// Why a call to discovery failed.
 #[derive(Debug, Error)]
-pub enum DiscoveryError {
+pub(super) enum DiscoveryError {
     /// No connection was established in time.
     #[error("no connection in time")]
     ConnectTimeout,
@@ -46,7 +46,7 @@
 
 /// A request for a list.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ListRequest {
+pub(super) struct ListRequest {
     path: String,
     /// How long the response may take.
     timeout: Duration,
@@ -54,7 +54,7 @@
 
 impl ListRequest {
     /// The full list.
-    pub fn full(timeout: Duration) -> Self {
+    pub(super) fn full(timeout: Duration) -> Self {
         ListRequest {
             path: LIST_PATH.to_owned(),
             timeout,
@@ -62,7 +62,7 @@
     }
 
     /// The changes since a version; discovery waits for a change.
-    pub fn changes_since(version: u64, limits: &Limits) -> Self {
+    pub(super) fn changes_since(version: u64, limits: &Limits) -> Self {
         let wait_ms = limits.discovery.watch_timeout.as_millis();
         ListRequest {
             path: format!("{LIST_PATH}?index={version}&wait={wait_ms}"),
@@ -72,7 +72,7 @@
 }
 
 /// A list as received, not interpreted yet.
-pub struct ListResponse {
+pub(super) struct ListResponse {
     /// The JSON value.
     pub list: Value,
     /// The connection stays open for another request.
@@ -80,7 +80,7 @@
 }
 
 /// A connection to discovery.
-pub struct DiscoveryConnection {
+pub(super) struct DiscoveryConnection {
     stream: TcpStream,
     address: SocketAddr,
     input: Vec<u8>,
@@ -91,7 +91,7 @@
     ///
     /// # Errors
     /// No connection was established.
-    pub async fn open(address: SocketAddr) -> Result<Self, DiscoveryError> {
+    pub(super) async fn open(address: SocketAddr) -> Result<Self, DiscoveryError> {
         let stream = TcpStream::connect(address).await?;
         // Without it requests are a little later; the connection works all the same.
         let _ = stream.set_nodelay(true);
@@ -106,7 +106,7 @@
     ///
     /// # Errors
     /// The request fails, or its response is not a list.
-    pub async fn get(
+    pub(super) async fn get(
         &mut self,
         request: &ListRequest,
         limits: &Limits,
@@ -121,7 +121,7 @@
     ///
     /// # Errors
     /// The request fails, or its response is not a list.
-    pub async fn get_and_close(
+    pub(super) async fn get_and_close(
         mut self,
         request: &ListRequest,
         limits: &Limits,
--- a/src/net/hot_restart/shared_folder.rs
+++ b/src/net/hot_restart/shared_folder.rs
@@ -17,7 +17,7 @@
 const HANDOFF_DRAFT_SUFFIX: &str = "draft";
 
 /// The folder, and this process's name in it.
-pub struct SharedFolder {
+pub(super) struct SharedFolder {
     folder: PathBuf,
     own_name: String,
     /// Held locked while this process lives.
@@ -26,7 +26,7 @@
 
 impl SharedFolder {
     /// The folder for temporary files, for a process that started at `started_at`.
-    pub fn new(started_at: Nanos) -> Self {
+    pub(super) fn new(started_at: Nanos) -> Self {
         SharedFolder {
             folder: std::env::temp_dir(),
             own_name: format!("{PREFIX}{started_at:x}-{:x}", std::process::id()),
@@ -35,7 +35,7 @@
     }
 
     /// The folder's path.
-    pub fn path(&self) -> &Path {
+    pub(super) fn path(&self) -> &Path {
         &self.folder
     }
 
@@ -47,7 +47,7 @@
     ///
     /// # Errors
     /// The folder cannot be written to, or the lock is another process's.
-    pub fn write_state(&self, text: &str) -> io::Result<()> {
+    pub(super) fn write_state(&self, text: &str) -> io::Result<()> {
         self.acquire_lock()?;
         let draft = self.file(&self.own_name, STATE_DRAFT_SUFFIX);
         write_and_rename(&draft, &self.file(&self.own_name, STATE_SUFFIX), text)
@@ -66,7 +66,7 @@
     ///
     /// # Errors
     /// The folder cannot be read.
-    pub fn other_processes(&self) -> io::Result<Vec<String>> {
+    pub(super) fn other_processes(&self) -> io::Result<Vec<String>> {
         let files = fs::read_dir(&self.folder)?;
         let names = files.flatten().filter_map(|file| {
             let file_name = file.file_name().to_string_lossy().into_owned();
@@ -81,12 +81,12 @@
     ///
     /// # Errors
     /// The file cannot be read; its process may have ended meanwhile.
-    pub fn read_state(&self, process: &str) -> io::Result<String> {
+    pub(super) fn read_state(&self, process: &str) -> io::Result<String> {
         fs::read_to_string(self.file(process, STATE_SUFFIX))
     }
 
     /// Whether a process lives: it holds its lock.
-    pub fn is_alive(&self, process: &str) -> bool {
+    pub(super) fn is_alive(&self, process: &str) -> bool {
         let lock = self.file(process, LOCK_SUFFIX);
         File::open(lock).is_ok_and(|file| matches!(file.try_lock(), Err(TryLockError::WouldBlock)))
     }
@@ -95,13 +95,13 @@
     ///
     /// # Errors
     /// The folder cannot be written to.
-    pub fn write_handoff(&self, process: &str, text: &str) -> io::Result<()> {
+    pub(super) fn write_handoff(&self, process: &str, text: &str) -> io::Result<()> {
         let draft = self.file(process, HANDOFF_DRAFT_SUFFIX);
         write_and_rename(&draft, &self.file(process, HANDOFF_SUFFIX), text)
     }
 
     /// Takes the handoff of another process to this one, if there is one.
-    pub fn take_handoff(&self) -> Option<String> {
+    pub(super) fn take_handoff(&self) -> Option<String> {
         let file = self.file(&self.own_name, HANDOFF_SUFFIX);
         let text = fs::read_to_string(&file).ok()?;
         remove_if_present(&file);
@@ -109,7 +109,7 @@
     }
 
     /// Removes the files of a process that has ended.
-    pub fn remove_files(&self, process: &str) {
+    pub(super) fn remove_files(&self, process: &str) {
         for suffix in [STATE_SUFFIX, LOCK_SUFFIX, HANDOFF_SUFFIX] {
             remove_if_present(&self.file(process, suffix));
         }
--- a/src/net/resp/downstream/command_error.rs
+++ b/src/net/resp/downstream/command_error.rs
@@ -4,7 +4,7 @@
 
 /// Why a command is refused. The texts are sent to clients.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-pub enum CommandError {
+pub(super) enum CommandError {
     /// The command is empty, or contains a null.
     #[error("a command is an array of bulk strings")]
     NotBulkStrings,
--- a/src/net/resp/downstream/idle_connections.rs
+++ b/src/net/resp/downstream/idle_connections.rs
@@ -18,7 +18,7 @@
 
 /// The connections that wait for a command; the first one is evicted first.
 #[derive(Default)]
-pub struct IdleConnections {
+pub(super) struct IdleConnections {
     waiting: RefCell<BTreeMap<IdlePlace, Rc<Notify>>>,
     next_serial: Cell<u64>,
 }
@@ -38,7 +38,7 @@
     }
 
     /// Evicts the first connection.
-    pub fn evict_first(&self) -> Eviction {
+    pub(super) fn evict_first(&self) -> Eviction {
         let first = self.waiting.borrow_mut().pop_first();
         match first {
             Some((_, evicted)) => {
@@ -52,7 +52,7 @@
 
 /// The activity of a connection.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub enum Activity {
+pub(super) enum Activity {
     /// A response is pending.
     Busy,
     /// Nothing of the next command has been received.
@@ -63,7 +63,7 @@
 
 /// Whether a connection was ever used.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub enum Usage {
+pub(super) enum Usage {
     /// No response was collected yet.
     New,
     /// It has had a response.
@@ -71,7 +71,7 @@
 }
 
 /// How long one connection has been idle, or in the middle of a command.
-pub struct IdleTimer {
+pub(super) struct IdleTimer {
     idle_connections: Rc<IdleConnections>,
     activity: Activity,
     since: Instant,
@@ -83,7 +83,7 @@
 
 impl IdleTimer {
     /// The timer of a connection that was just accepted.
-    pub fn new(idle_connections: Rc<IdleConnections>) -> Self {
+    pub(super) fn new(idle_connections: Rc<IdleConnections>) -> Self {
         IdleTimer {
             idle_connections,
             activity: Activity::Busy,
@@ -95,7 +95,7 @@
     }
 
     /// Records the connection's activity.
-    pub fn update(&mut self, activity: Activity, usage: Usage, limits: &Limits) {
+    pub(super) fn update(&mut self, activity: Activity, usage: Usage, limits: &Limits) {
         let is_new = self.is_new && usage == Usage::New && activity != Activity::Busy;
         if activity == self.activity && is_new == self.is_new {
             return;
@@ -131,7 +131,7 @@
 
     /// Waits until the connection has been idle for too long, or is evicted. Without these bounds silent connections,
     /// commands that never end and clients that never return would hold the descriptors.
-    pub async fn expired(&self, limits: &Limits) {
+    pub(super) async fn expired(&self, limits: &Limits) {
         let allowed = match self.activity {
             Activity::Busy => return std::future::pending().await,
             Activity::Idle if !self.is_new => limits.downstream.idle_timeout,
--- a/src/net/resp/downstream/request_parser.rs
+++ b/src/net/resp/downstream/request_parser.rs
@@ -27,7 +27,7 @@
 const WRITE_FLAG: u64 = 4;
 
 /// A command of a client.
-pub enum ClientCommand {
+pub(super) enum ClientCommand {
     /// A request for a host.
     Request(Box<Request>),
     /// A question whether the limiter serves.
@@ -68,7 +68,7 @@
 ///
 /// # Errors
 /// The command is unknown or malformed, or names a class or plan that the catalog does not contain.
-pub fn parse_client_command(
+pub(super) fn parse_client_command(
     bytes: &[u8],
     command: &Command,
     catalog: &RequestCatalog,
--- a/src/net/resp/downstream/response_queue.rs
+++ b/src/net/resp/downstream/response_queue.rs
@@ -14,7 +14,7 @@
 const NANOS_PER_MS: u128 = 1_000_000;
 
 /// The response to one command.
-pub enum Response {
+pub(super) enum Response {
     /// The request has no answer yet.
     Pending(RequestId),
     /// The bytes to be sent.
@@ -30,7 +30,7 @@
 
 /// Where a collection of responses ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CollectOutcome {
+pub(super) enum CollectOutcome {
     /// At a response that is not ready yet, or behind the last one.
     Pending,
     /// Within a streamed value that will never be complete.
@@ -39,7 +39,7 @@
 
 /// The result of a collection of responses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Collected {
+pub(super) struct Collected {
     /// How many of the collected bytes count as buffered.
     pub buffered_bytes: usize,
     /// Where the collection ended.
@@ -47,7 +47,7 @@
 }
 
 /// The pending responses, in the order of their commands.
-pub struct ResponseQueue {
+pub(super) struct ResponseQueue {
     responses: RefCell<VecDeque<Response>>,
     /// The place of the first of them among all of the connection.
     first_place: Cell<u64>,
@@ -88,7 +88,7 @@
 
 impl ResponseQueue {
     /// A queue without responses.
-    pub fn new(buffered_bytes: Rc<Cell<usize>>) -> Self {
+    pub(super) fn new(buffered_bytes: Rc<Cell<usize>>) -> Self {
         ResponseQueue {
             responses: RefCell::default(),
             first_place: Cell::default(),
@@ -110,7 +110,7 @@
     }
 
     /// Adds a response behind the others; returns its place.
-    pub fn push(&self, response: Response) -> u64 {
+    pub(super) fn push(&self, response: Response) -> u64 {
         self.count(&response);
         let mut responses = self.responses.borrow_mut();
         responses.push_back(response);
@@ -118,7 +118,7 @@
     }
 
     /// Adds an error response behind the others.
-    pub fn push_error(&self, problem: &str) {
+    pub(super) fn push_error(&self, problem: &str) {
         let text = format!("-ERR {problem}\r\n");
         self.push(Response::Ready(text.into_bytes()));
     }
@@ -131,13 +131,13 @@
     }
 
     /// Records that buffered bytes have been sent, or will never be.
-    pub fn release(&self, bytes: usize) {
+    pub(super) fn release(&self, bytes: usize) {
         let buffered = self.buffered_bytes.get();
         self.buffered_bytes.set(buffered - bytes);
     }
 
     /// Moves the responses at the front of the queue to `output`, as far as they are ready.
-    pub fn collect(&self, output: &mut Vec<u8>) -> Collected {
+    pub(super) fn collect(&self, output: &mut Vec<u8>) -> Collected {
         let mut responses = self.responses.borrow_mut();
         let mut buffered_bytes = 0;
         let outcome = loop {
@@ -166,7 +166,7 @@
     }
 
     /// The long value at the front of the queue.
-    pub fn current_body(&self) -> Option<Rc<StreamingBody>> {
+    pub(super) fn current_body(&self) -> Option<Rc<StreamingBody>> {
         match self.responses.borrow().front() {
             Some(Response::Streaming { body, .. }) => Some(body.clone()),
             _ => None,
@@ -174,22 +174,22 @@
     }
 
     /// How many responses are pending.
-    pub fn len(&self) -> usize {
+    pub(super) fn len(&self) -> usize {
         self.responses.borrow().len()
     }
 
     /// Whether no response is pending.
-    pub fn is_empty(&self) -> bool {
+    pub(super) fn is_empty(&self) -> bool {
         self.responses.borrow().is_empty()
     }
 
     /// Whether a response has been collected completely.
-    pub fn has_responded(&self) -> bool {
+    pub(super) fn has_responded(&self) -> bool {
         self.first_place.get() > 0
     }
 
     /// Abandons all responses: the connection has ended.
-    pub fn abandon(&self, handler: &dyn RequestHandler) {
+    pub(super) fn abandon(&self, handler: &dyn RequestHandler) {
         let responses = std::mem::take(&mut *self.responses.borrow_mut());
         for response in responses {
             match response {
