--- a/crates/admin/src/drain/tests.rs
+++ b/crates/admin/src/drain/tests.rs
@@ -10,12 +10,12 @@
 /// Every pair of drain, undrain and shutdown, in its order, the second one at any phase of the first.
 #[test]
 fn each_pair_of_orders_leads_to_one_phase() {
+    use Phase::{Closing, LastCall, Serving};
     type Order = fn(&mut DrainController, Nanos);
     let drain: Order = DrainController::drain;
     let undrain: Order = DrainController::undrain;
     let shut_down: Order = |controller, at| controller.shut_down(at, Successor::None);
     let hand_over: Order = |controller, at| controller.shut_down(at, Successor::Serving);
-    use Phase::{Closing, LastCall, Serving};
     for (first, second, gap, at, phase, accepts_clients, is_shutting_down) in [
         (drain, drain, 10, 21, LastCall, false, false),
         (drain, undrain, 3, 30, Serving, true, false),
--- a/crates/admin/src/request.rs
+++ b/crates/admin/src/request.rs
@@ -98,9 +98,9 @@
 
 fn check_method(method: &str, path: &str) -> Result<(), RequestError> {
     match (path, method) {
-        ("/ready", "GET") => Ok(()),
+        ("/ready", "GET")
+        | ("/servers/disable" | "/servers/enable" | "/drain" | "/undrain", "PUT") => Ok(()),
         ("/ready", _) => Err(RequestError::GetOnly),
-        ("/servers/disable" | "/servers/enable" | "/drain" | "/undrain", "PUT") => Ok(()),
         ("/servers/disable" | "/servers/enable" | "/drain" | "/undrain", _) => {
             Err(RequestError::PutOnly)
         }
--- a/src/net/counter/liveness/tests.rs
+++ b/src/net/counter/liveness/tests.rs
@@ -38,7 +38,11 @@
 #[test]
 fn silent_connection_becomes_suspect_after_two_call_timeouts() {
     let start = Instant::now();
-    let state = state_after(CallProgress::AnsweredBefore, start, 2 * CALL - CALL / 10);
+    let state = state_after(
+        CallProgress::AnsweredBefore,
+        start,
+        (2 * CALL).saturating_sub(CALL / 10),
+    );
     assert_eq!(state.deadline(), start + 2 * CALL);
     assert_eq!(state.verdict_at_deadline(), DeadlineVerdict::Suspect);
 }
--- a/src/net/discovery/backoff/tests.rs
+++ b/src/net/discovery/backoff/tests.rs
@@ -43,7 +43,7 @@
             break;
         }
         let served_at = service_free_at.max(called_at);
-        if served_at - called_at > CALL_TIMEOUT {
+        if served_at.saturating_sub(called_at) > CALL_TIMEOUT {
             failed_calls += 1;
             // A call that has given up had kept its place in the queue for all that time.
             service_free_at += GIVEN_UP_CALL_TIME;
--- a/src/net/discovery/client.rs
+++ b/src/net/discovery/client.rs
@@ -56,11 +56,13 @@
     }
 
     /// Counts failed calls in the metrics.
+    #[must_use]
     pub fn with_metrics(self, metrics: Option<SharedMetrics>) -> Self {
         DiscoveryClient { metrics, ..self }
     }
 
     /// Sets whether the names of all hosts ever listed are recorded, for another process of this limiter.
+    #[must_use]
     pub fn with_name_records(self, records_names: bool) -> Self {
         DiscoveryClient {
             records_names,
--- a/src/net/leases/node.rs
+++ b/src/net/leases/node.rs
@@ -228,9 +228,10 @@
             }
             *logged = token;
             let task = proposer.task();
-            match token {
-                Some(token) => tracing::info!(task, round = token.round, "lease acquired"),
-                None => tracing::info!(task, "lease ended"),
+            if let Some(token) = token {
+                tracing::info!(task, round = token.round, "lease acquired");
+            } else {
+                tracing::info!(task, "lease ended");
             }
         }
     }
--- a/src/net/resp/downstream/closing.rs
+++ b/src/net/resp/downstream/closing.rs
@@ -55,7 +55,7 @@
 
 impl Progress {
     /// Whether every command received has its response, and the client has taken it.
-    pub(super) fn is_between_requests(&self) -> bool {
+    pub(super) fn is_between_requests(self) -> bool {
         self.is_output_empty && !self.has_pending_response
     }
 }
@@ -78,12 +78,12 @@
     }
 
     /// Whether the connection was accepted within the limit on connections.
-    pub(super) fn admission(&self) -> Admission {
+    pub(super) fn admission(self) -> Admission {
         self.admission
     }
 
     /// Decides whether a connection is closed in a phase of the limiter.
-    pub(super) fn decide(&self, progress: &Progress, phase: Phase) -> CloseDecision {
+    pub(super) fn decide(self, progress: Progress, phase: Phase) -> CloseDecision {
         // The client can tell by the early end that a value is not complete.
         if progress.collected == CollectOutcome::BodyFailed && progress.is_output_empty {
             return CloseDecision::Close;
@@ -103,7 +103,7 @@
     /// Whether the connection closes as soon as it is between requests: clients are being drained, or it was accepted
     /// past the limit. Commands that were received together are all answered first. A connection that was accepted
     /// while clients are being drained, or past the limit, does not close before its first command.
-    fn is_closed_between_requests(&self, progress: &Progress, phase: Phase) -> bool {
+    fn is_closed_between_requests(self, progress: Progress, phase: Phase) -> bool {
         let was_accepted_before = self.accepted_in < Phase::Closing;
         let is_drained = phase >= Phase::Closing && (progress.has_responded || was_accepted_before);
         let is_rejected = self.admission == Admission::Rejected && progress.has_responded;
--- a/src/net/resp/downstream/closing/tests.rs
+++ b/src/net/resp/downstream/closing/tests.rs
@@ -16,13 +16,13 @@
 
 #[test]
 fn served_connection_stays_open_while_clients_are_not_drained() {
-    assert_eq!(served().decide(&IDLE, Phase::Serving), CloseDecision::Keep);
+    assert_eq!(served().decide(IDLE, Phase::Serving), CloseDecision::Keep);
 }
 
 #[test]
 fn served_connection_closes_between_requests_while_clients_are_drained() {
     assert_eq!(
-        served().decide(&IDLE, Phase::Closing),
+        served().decide(IDLE, Phase::Closing),
         CloseDecision::CloseUnlessReceived
     );
     let unused = Progress {
@@ -30,7 +30,7 @@
         ..IDLE
     };
     assert_eq!(
-        served().decide(&unused, Phase::Closing),
+        served().decide(unused, Phase::Closing),
         CloseDecision::CloseUnlessReceived
     );
 }
@@ -53,7 +53,7 @@
     ];
     for progress in within_a_request {
         assert_eq!(
-            served().decide(&progress, Phase::Closing),
+            served().decide(progress, Phase::Closing),
             CloseDecision::Keep
         );
     }
@@ -66,9 +66,9 @@
         has_responded: false,
         ..IDLE
     };
-    assert_eq!(policy.decide(&unused, Phase::Closing), CloseDecision::Keep);
+    assert_eq!(policy.decide(unused, Phase::Closing), CloseDecision::Keep);
     assert_eq!(
-        policy.decide(&IDLE, Phase::Closing),
+        policy.decide(IDLE, Phase::Closing),
         CloseDecision::CloseUnlessReceived
     );
 }
@@ -80,9 +80,9 @@
         has_responded: false,
         ..IDLE
     };
-    assert_eq!(policy.decide(&unused, Phase::Serving), CloseDecision::Keep);
+    assert_eq!(policy.decide(unused, Phase::Serving), CloseDecision::Keep);
     assert_eq!(
-        policy.decide(&IDLE, Phase::Serving),
+        policy.decide(IDLE, Phase::Serving),
         CloseDecision::CloseUnlessReceived
     );
 }
@@ -94,17 +94,14 @@
         ..IDLE
     };
     assert_eq!(
-        served().decide(&malformed, Phase::Serving),
+        served().decide(malformed, Phase::Serving),
         CloseDecision::Close
     );
     let unsent = Progress {
         is_output_empty: false,
         ..malformed
     };
-    assert_eq!(
-        served().decide(&unsent, Phase::Serving),
-        CloseDecision::Keep
-    );
+    assert_eq!(served().decide(unsent, Phase::Serving), CloseDecision::Keep);
 }
 
 #[test]
@@ -115,15 +112,12 @@
         ..IDLE
     };
     assert_eq!(
-        served().decide(&failed, Phase::Serving),
+        served().decide(failed, Phase::Serving),
         CloseDecision::Close
     );
     let unsent = Progress {
         is_output_empty: false,
         ..failed
     };
-    assert_eq!(
-        served().decide(&unsent, Phase::Serving),
-        CloseDecision::Keep
-    );
+    assert_eq!(served().decide(unsent, Phase::Serving), CloseDecision::Keep);
 }
--- a/src/net/resp/downstream/connection.rs
+++ b/src/net/resp/downstream/connection.rs
@@ -114,14 +114,14 @@
         }
         let phase = *self.phase.borrow_and_update();
         let progress = self.progress(collected);
-        match self.close_policy.decide(&progress, phase) {
+        match self.close_policy.decide(progress, phase) {
             CloseDecision::Close => Step::End(ConnectionEnd::Orderly),
             CloseDecision::CloseUnlessReceived => match self.close_unless_received() {
                 ControlFlow::Break(end) => Step::End(end),
                 ControlFlow::Continue(()) => Step::Again,
             },
             CloseDecision::Keep => {
-                self.update_idle_timer(&progress);
+                self.update_idle_timer(progress);
                 Step::Wait
             }
         }
@@ -213,7 +213,7 @@
         }
     }
 
-    fn update_idle_timer(&mut self, progress: &Progress) {
+    fn update_idle_timer(&mut self, progress: Progress) {
         let activity = if !progress.is_between_requests() {
             Activity::Busy
         } else if progress.input == InputState::Empty {
--- a/src/net/resp/downstream/input.rs
+++ b/src/net/resp/downstream/input.rs
@@ -3,7 +3,7 @@
 use crate::net::config::Limits;
 use crate::net::resp::close::{self, SocketState};
 use crate::net::resp::codec;
-use tokio::io::{AsyncReadExt, Interest};
+use tokio::io::{AsyncReadExt, Interest, Ready};
 use tokio::net::tcp::ReadHalf;
 use tokio::time::sleep;
 
@@ -135,6 +135,6 @@
 
     async fn is_read_closed(&self) -> bool {
         let ready = self.reader.ready(Interest::READABLE).await;
-        ready.is_ok_and(|ready| ready.is_read_closed())
+        ready.is_ok_and(Ready::is_read_closed)
     }
 }
--- a/src/net/resp/tests.rs
+++ b/src/net/resp/tests.rs
@@ -97,7 +97,7 @@
             15
         );
         let reader = std::thread::spawn(move || {
-            peer.write_all(&[7; 1 << 20])
+            peer.write_all(&vec![7; 1 << 20])
                 .expect("it is read, and dropped");
             let mut text = String::new();
             peer.read_to_string(&mut text).map(|_| text)
--- a/src/net/stages/accept.rs
+++ b/src/net/stages/accept.rs
@@ -32,5 +32,5 @@
     let deadline = pipeline
         .engine
         .open_request(reply_to, &mut request, arrived);
-    admit::admit(pipeline, request, deadline);
+    admit::admit(pipeline, &request, deadline);
 }
--- a/src/net/stages/admit.rs
+++ b/src/net/stages/admit.rs
@@ -9,7 +9,7 @@
 use tokio::time::{sleep_until, Instant};
 
 /// Hands a request to the engine, and fails it shortly before its deadline where it has no answer by then.
-pub fn admit(pipeline: &Rc<Pipeline>, request: Request, deadline: Instant) {
+pub fn admit(pipeline: &Rc<Pipeline>, request: &Request, deadline: Instant) {
     let id = request.id;
     pipeline.engine.handle(Event::Request {
         id,
--- a/src/net/stages/route.rs
+++ b/src/net/stages/route.rs
@@ -49,10 +49,9 @@
         Action::HealthCheck { host } => dispatch::check_health(pipeline, host),
         Action::CloseIdle { host } => pipeline.upstream.close_idle(host),
         Action::Log { event } => log(event),
-        // Discovery is watched all the time, and asked for the whole list after each gap.
-        Action::Watch { .. } | Action::FetchHosts => {}
-        // Limiters have no connections to each other.
-        Action::MessagePeers { .. } => {}
+        // Discovery is watched all the time, and asked for the whole list after each gap. Limiters have no
+        // connections to each other: the engine's messages to them are dropped.
+        Action::Watch { .. } | Action::FetchHosts | Action::MessagePeers { .. } => {}
     }
 }
 
