--- a/src/net/stages/route.rs
+++ b/src/net/stages/route.rs
@@ -29,7 +29,7 @@
         Action::CancelAttempt { id, attempt } => {
             let attempt_id = AttemptId {
                 request: id,
-                attempt: attempt.0,
+                attempt,
             };
             pipeline.engine.cancel_attempt(attempt_id);
         }
@@ -49,10 +49,9 @@
         Action::HealthCheck { host } => dispatch::check_health(pipeline, host),
         Action::CloseIdle { host } => pipeline.upstream.close_idle(host),
         Action::Log { event } => log(event),
-        // Discovery is watched all the time, and asked for the whole list after each gap.
-        Action::Watch { .. } | Action::FetchHosts => {}
-        // Limiters have no connections to each other.
-        Action::MessagePeers { .. } => {}
+        // Discovery is watched all the time, and asked for the whole list after each gap. Limiters have no
+        // connections to each other: the engine's messages to them are dropped.
+        Action::Watch { .. } | Action::FetchHosts | Action::MessagePeers { .. } => {}
     }
 }
 
@@ -75,9 +74,8 @@
     }
 }
 
-fn report_never_sent(pipeline: &Pipeline, order: AttemptOrder, attempt: u32) {
+fn report_never_sent(pipeline: &Pipeline, order: AttemptOrder, attempt: AttemptIndex) {
     let AttemptOrder { id, host, .. } = order;
-    let attempt = AttemptIndex(attempt);
     pipeline
         .engine
         .handle(Event::attempt_never_sent(id, attempt, host));
