--- a/crates/bench/src/damage/mod.rs
+++ b/crates/bench/src/damage/mod.rs
@@ -16,7 +16,7 @@
 
 /// Seeded damage to a day's settings: which expectation catches it, and whether the line is named.
 #[derive(Debug, Args)]
-pub struct Damage {
+pub(crate) struct Damage {
     /// The expectations.
     #[arg(long, default_value = "deploy/expectations")]
     expectations: PathBuf,
@@ -98,7 +98,7 @@
     ///
     /// # Errors
     /// Fails where the day cannot be read or damaged files cannot be written.
-    pub fn run(self) -> Result<String, BenchError> {
+    pub(crate) fn run(self) -> Result<String, BenchError> {
         let day = read_deployment(&self.settings)?;
         let file = format!("quartzcleat-damage-{}.yaml", std::process::id());
         let path = std::env::temp_dir().join(file);
--- a/crates/bench/src/damage/table.rs
+++ b/crates/bench/src/damage/table.rs
@@ -2,7 +2,7 @@
 
 /// A value that a damage puts in a key's place.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum DamagedValue {
+pub(super) enum DamagedValue {
     /// A number, in the key's own unit.
     Number(f64),
     /// A flag.
@@ -13,7 +13,7 @@
 
 /// A single change to a day's settings.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct SettingDamage {
+pub(super) struct SettingDamage {
     /// The path of the key.
     pub key: &'static str,
     /// Its value then.
@@ -51,7 +51,7 @@
 }
 
 /// All damages, in the order of the report.
-pub const DAMAGES: &[SettingDamage] = &[
+pub(super) const DAMAGES: &[SettingDamage] = &[
     keyword(
         "categories.0.effect",
         "fragile",
--- a/crates/bench/src/deployments/baseline.rs
+++ b/crates/bench/src/deployments/baseline.rs
@@ -39,7 +39,7 @@
 
 /// The value that the baseline serves: each request in its order goes to the core that finishes it first, if that is in
 /// time. Requests below a threshold of weight per work are left out; the best of some thresholds counts.
-pub fn served_value(scenario: &Scenario) -> f64 {
+pub(super) fn served_value(scenario: &Scenario) -> f64 {
     let requests: Vec<TimedRequest> = scenario
         .steps
         .iter()
--- a/crates/bench/src/deployments/generate/clients.rs
+++ b/crates/bench/src/deployments/generate/clients.rs
@@ -9,7 +9,7 @@
 use rand_distr::{Distribution, Exp, LogNormal};
 
 /// The most requests of a deployment, so that a simulation ends in time.
-pub const MAX_REQUESTS: usize = 12_000;
+pub(super) const MAX_REQUESTS: usize = 12_000;
 /// The part of customers that use more than their quota.
 const HEAVY_CUSTOMERS: f64 = 0.15;
 /// The part below which customers are heavy or bursty; the others keep within their quotas.
@@ -21,7 +21,7 @@
 const MIN_UNITS: f64 = 0.25;
 
 /// A request and when it is sent.
-pub struct TimedRequest {
+pub(super) struct TimedRequest {
     /// When it is sent.
     pub at: Nanos,
     /// The request.
@@ -29,7 +29,7 @@
 }
 
 /// The requests of all customers in the order of their times.
-pub struct ClientLoad {
+pub(super) struct ClientLoad {
     /// The requests.
     pub requests: Vec<TimedRequest>,
     /// The number of customers.
@@ -142,7 +142,7 @@
 }
 
 /// Generates customers until their mean use fills so many cores.
-pub fn client_load(
+pub(super) fn client_load(
     random: &mut Random,
     settings: &Settings,
     work: &[Nanos],
--- a/crates/bench/src/deployments/generate/incident.rs
+++ b/crates/bench/src/deployments/generate/incident.rs
@@ -19,7 +19,7 @@
 
 /// What goes wrong in a deployment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Incident {
+pub(crate) enum Incident {
     /// Nothing.
     None,
     /// Machines vanish and come back.
@@ -58,7 +58,7 @@
 
 impl Incident {
     /// The name in reports.
-    pub fn name(self) -> &'static str {
+    pub(crate) fn name(self) -> &'static str {
         match self {
             Incident::None => "nothing",
             Incident::HostsVanish => "vanish",
@@ -94,7 +94,7 @@
 }
 
 /// An incident and its time.
-pub struct ScheduledIncident {
+pub(super) struct ScheduledIncident {
     /// What goes wrong.
     pub incident: Incident,
     begin: Nanos,
@@ -107,7 +107,7 @@
 
 impl ScheduledIncident {
     /// A random incident in a deployment of some hosts and limiters. At least one host stays sound.
-    pub fn generate(random: &mut Random, hosts: usize, limiters: usize) -> Self {
+    pub(super) fn generate(random: &mut Random, hosts: usize, limiters: usize) -> Self {
         let begin = nanos(random.uniform(4.0, 9.0));
         let end = begin + nanos(random.log_uniform(1.0, 8.0));
         let struck_hosts = (hosts as f64 * random.uniform(0.1, 0.5)).max(1.0) as usize;
@@ -121,7 +121,7 @@
     }
 
     /// The incident as steps of a scenario.
-    pub fn steps(&self) -> Vec<Step> {
+    pub(super) fn steps(&self) -> Vec<Step> {
         let mut steps = Vec::new();
         for host in 0..self.hosts {
             steps.extend(self.host_steps(HostIndex(host)));
--- a/crates/bench/src/deployments/generate/mod.rs
+++ b/crates/bench/src/deployments/generate/mod.rs
@@ -18,7 +18,7 @@
 };
 use random::Random;
 
-pub use incident::Incident;
+pub(super) use incident::Incident;
 
 const NANOS_PER_MS: Nanos = 1_000_000;
 /// How long clients send requests, in seconds.
@@ -31,7 +31,7 @@
 
 /// A generated deployment.
 #[derive(Clone, Debug)]
-pub struct Deployment {
+pub(super) struct Deployment {
     /// The scenario.
     pub scenario: Scenario,
     /// Sizes and the incident, for the report.
@@ -98,7 +98,7 @@
 }
 
 /// Generates the deployment of a seed.
-pub fn generate(seed: u64) -> Deployment {
+pub(super) fn generate(seed: u64) -> Deployment {
     let mut random = Random::from_seed(seed);
     let generated = settings::classes(&mut random);
     let work = generated.work;
--- a/crates/bench/src/deployments/generate/settings.rs
+++ b/crates/bench/src/deployments/generate/settings.rs
@@ -11,7 +11,7 @@
 const MIN_LATENCY_OBJECTIVE: Nanos = 30 * NANOS_PER_MS;
 
 /// The classes of a deployment.
-pub struct Classes {
+pub(super) struct Classes {
     /// The classes.
     pub classes: Vec<Class>,
     /// The work of a request, by class.
@@ -19,7 +19,7 @@
 }
 
 /// Random classes.
-pub fn classes(random: &mut Random) -> Classes {
+pub(super) fn classes(random: &mut Random) -> Classes {
     let mut generated = Classes {
         classes: Vec::new(),
         work: Vec::new(),
@@ -53,7 +53,7 @@
 }
 
 /// Random plans.
-pub fn plans(random: &mut Random) -> Vec<Plan> {
+pub(super) fn plans(random: &mut Random) -> Vec<Plan> {
     (0..random.count(1, 4))
         .map(|number| plan(random, number))
         .collect()
@@ -73,7 +73,7 @@
 }
 
 /// Random settings with given classes and plans.
-pub fn settings(
+pub(super) fn settings(
     random: &mut Random,
     classes: Vec<Class>,
     plans: Vec<Plan>,
--- a/crates/bench/src/deployments/judge.rs
+++ b/crates/bench/src/deployments/judge.rs
@@ -16,7 +16,7 @@
 const MIN_BASELINE_VALUE: f64 = 1e-9;
 
 /// The result of one deployment; values are parts of what the baseline serves.
-pub struct DeploymentResult {
+pub(super) struct DeploymentResult {
     /// The seed.
     pub seed: u64,
     /// The deployment.
@@ -29,7 +29,7 @@
 
 /// Values of a deployment's requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Value {
+pub(super) struct Value {
     /// Served, less what use beyond quotas costs.
     pub served: f64,
     /// What use beyond quotas costs.
@@ -49,7 +49,7 @@
 }
 
 /// Simulates the deployment of a seed and judges it.
-pub fn judge(seed: u64) -> DeploymentResult {
+pub(super) fn judge(seed: u64) -> DeploymentResult {
     let deployment = generate(seed);
     let scenario = &deployment.scenario;
     let run = simulate(scenario, &mut FirstOption);
--- a/crates/bench/src/deployments/mod.rs
+++ b/crates/bench/src/deployments/mod.rs
@@ -22,7 +22,7 @@
 /// Rates, plans, classes, deadlines, sizes, zones, the counter and incidents are generated over ranges far wider than those
 /// of the known deployments. What is served is compared with one queue that has exact quotas and knows every host.
 #[derive(Debug, Args)]
-pub struct Deployments {
+pub(crate) struct Deployments {
     /// Seeds, the last one included.
     #[arg(long, default_value = "1..200")]
     seeds: SeedRange,
@@ -39,7 +39,7 @@
     ///
     /// # Errors
     /// Fails where a simulation panics.
-    pub fn run(self) -> Result<String, BenchError> {
+    pub(crate) fn run(self) -> Result<String, BenchError> {
         let next = AtomicU64::new(self.seeds.first);
         let results: Mutex<Vec<DeploymentResult>> = Mutex::default();
         std::thread::scope(|scope| {
--- a/crates/bench/src/deployments/quota.rs
+++ b/crates/bench/src/deployments/quota.rs
@@ -12,7 +12,7 @@
 
 /// A customer's use of a plan.
 #[derive(Clone, Copy, Debug)]
-pub struct Subscription {
+pub(super) struct Subscription {
     /// The customer.
     pub customer: PartnerIndex,
     /// The plan.
@@ -21,7 +21,7 @@
 
 /// Whether units were charged to a quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Charge {
+pub(super) enum Charge {
     /// They were.
     WithinQuota,
     /// The quota does not hold them, and stays as it is.
@@ -37,11 +37,11 @@
 
 /// Exact quotas of all customers: each refills at the plan's rate and holds at most its burst.
 #[derive(Clone, Debug, Default)]
-pub struct ExactQuotas(BTreeMap<PartnerIndex, Bucket>);
+pub(super) struct ExactQuotas(BTreeMap<PartnerIndex, Bucket>);
 
 impl ExactQuotas {
     /// Charges units to a customer's quota at a time, if it holds them.
-    pub fn charge(
+    pub(super) fn charge(
         &mut self,
         settings: &Settings,
         subscription: Subscription,
@@ -65,7 +65,7 @@
 }
 
 /// The priority weight of an answer after some time.
-pub fn priority_weight(
+pub(super) fn priority_weight(
     settings: &Settings,
     class: ClassIndex,
     plan: PlanIndex,
--- a/crates/bench/src/deployments/report.rs
+++ b/crates/bench/src/deployments/report.rs
@@ -14,7 +14,7 @@
 ///
 /// # Errors
 /// Fails where the histogram of distances cannot be set up.
-pub fn report(results: &[DeploymentResult], worst: usize) -> Result<String, BenchError> {
+pub(super) fn report(results: &[DeploymentResult], worst: usize) -> Result<String, BenchError> {
     let distances = distance_line(results)?;
     let broken = broken_lines(results);
     let incidents = incident_table(results);
--- a/crates/bench/src/error.rs
+++ b/crates/bench/src/error.rs
@@ -8,7 +8,7 @@
 
 /// A failure of a command. Its text is the message for the person who called it.
 #[derive(Debug, Error)]
-pub enum BenchError {
+pub(crate) enum BenchError {
     /// A file that the command needs cannot be read.
     #[error("{}: cannot read: {source}", path.display())]
     Read {
@@ -83,7 +83,7 @@
 
 impl BenchError {
     /// Adds a file or folder to an I/O error.
-    pub fn at(path: &Path) -> impl Fn(io::Error) -> BenchError + '_ {
+    pub(crate) fn at(path: &Path) -> impl Fn(io::Error) -> BenchError + '_ {
         move |source| BenchError::File {
             path: path.to_owned(),
             source,
@@ -95,7 +95,7 @@
 ///
 /// # Errors
 /// Fails where it cannot be read, naming it.
-pub fn read_file(path: &Path) -> Result<String, BenchError> {
+pub(crate) fn read_file(path: &Path) -> Result<String, BenchError> {
     std::fs::read_to_string(path).map_err(|source| BenchError::Read {
         path: path.to_owned(),
         source,
--- a/crates/bench/src/module.rs
+++ b/crates/bench/src/module.rs
@@ -14,7 +14,7 @@
 
 /// Seeded damage to the decision crate, built from patched copies: which expectation catches it.
 #[derive(Debug, Args)]
-pub struct Module {
+pub(crate) struct Module {
     /// The workspace.
     #[arg(long, default_value = ".")]
     root: PathBuf,
@@ -43,7 +43,7 @@
 
 /// Why the damages could not be tried.
 #[derive(Debug, Error)]
-pub enum ModuleError {
+pub(crate) enum ModuleError {
     /// A file or folder cannot be read or written.
     #[error("{}: {source}", path.display())]
     File {
@@ -106,7 +106,7 @@
     ///
     /// # Errors
     /// A copy cannot be made or built, or the text of a damage is not found.
-    pub fn run(self) -> Result<String, ModuleError> {
+    pub(crate) fn run(self) -> Result<String, ModuleError> {
         let folder = self
             .folder
             .unwrap_or_else(|| std::env::temp_dir().join("quartzcleat-module"));
--- a/crates/bench/src/pair.rs
+++ b/crates/bench/src/pair.rs
@@ -28,7 +28,7 @@
 
 /// CPU a request, memory and start of two builds of the limiter, in pairs.
 #[derive(Debug, Args)]
-pub struct Pair {
+pub(crate) struct Pair {
     /// One build's program.
     a: PathBuf,
     /// The other's.
@@ -84,7 +84,7 @@
     ///
     /// # Errors
     /// Fails where files, loopback or the programs do.
-    pub fn run(self) -> Result<String, BenchError> {
+    pub(crate) fn run(self) -> Result<String, BenchError> {
         let day = Deployment::read(
             "imlil-main.yaml",
             include_str!("../../../deploy/imlil-main.yaml"),
--- a/crates/bench/src/seeds.rs
+++ b/crates/bench/src/seeds.rs
@@ -10,7 +10,7 @@
 
 /// A range of seeds, the last one included: `1..20`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct SeedRange {
+pub(crate) struct SeedRange {
     /// The first seed.
     pub first: u64,
     /// The last seed.
@@ -19,7 +19,7 @@
 
 /// Why a text is not a range of seeds.
 #[derive(Debug, Error, PartialEq, Eq)]
-pub enum SeedRangeError {
+pub(crate) enum SeedRangeError {
     /// There are no two ends.
     #[error("write seeds as 1..20")]
     Form,
@@ -43,17 +43,17 @@
 
 impl SeedRange {
     /// All seeds in their order.
-    pub fn all(self) -> RangeInclusive<u64> {
+    pub(crate) fn all(self) -> RangeInclusive<u64> {
         self.first..=self.last
     }
 
     /// Whether a seed is in the range.
-    pub fn contains(self, seed: u64) -> bool {
+    pub(crate) fn contains(self, seed: u64) -> bool {
         self.all().contains(&seed)
     }
 
     /// The number of seeds.
-    pub fn count(self) -> u64 {
+    pub(crate) fn count(self) -> u64 {
         self.last - self.first + 1
     }
 }
--- a/crates/bench/src/speed.rs
+++ b/crates/bench/src/speed.rs
@@ -48,7 +48,7 @@
 
 /// Time of a run of expectations against cores and their number.
 #[derive(Debug, Args)]
-pub struct Speed {
+pub(crate) struct Speed {
     /// The expectations.
     #[arg(long, default_value = "deploy/expectations")]
     expectations: PathBuf,
@@ -59,7 +59,7 @@
 
 impl Speed {
     /// Measures all cases; returns a table.
-    pub fn run(self) -> String {
+    pub(crate) fn run(self) -> String {
         let rows: Vec<String> = CASES.iter().map(|case| self.measure(case)).collect();
         TABLE_HEAD.to_owned() + &rows.concat()
     }
--- a/crates/bench/src/spread.rs
+++ b/crates/bench/src/spread.rs
@@ -4,7 +4,7 @@
 
 /// The least, the median and the greatest of some values; not a number where there are none.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Spread {
+pub(crate) struct Spread {
     /// The least value.
     pub least: f64,
     /// The median; of an even number of values the upper one.
@@ -15,7 +15,7 @@
 
 impl Spread {
     /// The spread of some values.
-    pub fn of(mut values: Vec<f64>) -> Self {
+    pub(crate) fn of(mut values: Vec<f64>) -> Self {
         values.sort_by(f64::total_cmp);
         let at = |index: usize| values.get(index).copied().unwrap_or(f64::NAN);
         Spread {
--- a/crates/bench/src/trial/mod.rs
+++ b/crates/bench/src/trial/mod.rs
@@ -24,13 +24,13 @@
     Text,
     /// Totals and rows as JSON.
     Json,
-    /// JUnit's XML, a case for each seed.
+    /// `JUnit` XML, a case for each seed.
     Junit,
 }
 
 /// Run a scenario with many seeds on real limiters.
 #[derive(Debug, Args)]
-pub struct Trial {
+pub(crate) struct Trial {
     /// The scenario, such as deploy/trials/leases.yaml.
     #[arg(value_name = "STORY")]
     scenario: PathBuf,
@@ -74,7 +74,7 @@
     ///
     /// # Errors
     /// Fails where files or processes fail, and with the report where a seed does not hold.
-    pub fn run(self) -> Result<String, BenchError> {
+    pub(crate) fn run(self) -> Result<String, BenchError> {
         let file = self.scenario.display().to_string();
         let text = read_file(&self.scenario)?;
         let scenario = Scenario::read(&file, &text)?;
--- a/crates/bench/src/trial/plot.rs
+++ b/crates/bench/src/trial/plot.rs
@@ -123,7 +123,7 @@
 ///
 /// # Errors
 /// Fails where the drawing library or the file does.
-pub fn draw(
+pub(super) fn draw(
     file: &Path,
     scenario: &Scenario,
     seed: u64,
--- a/crates/bench/src/trial/report.rs
+++ b/crates/bench/src/trial/report.rs
@@ -1,4 +1,4 @@
-//! The report of a series of runs: for people, as JSON, or as JUnit's XML for build servers.
+//! The report of a series of runs: for people, as JSON, or as `JUnit` XML for build servers.
 
 use crate::error::BenchError;
 use hdrhistogram::Histogram;
@@ -16,7 +16,7 @@
 const GAP_DIGITS: u8 = 3;
 
 /// A series of runs.
-pub struct SeriesReport<'a> {
+pub(super) struct SeriesReport<'a> {
     /// The scenario's file.
     pub file: &'a str,
     /// The scenario.
@@ -76,7 +76,7 @@
     ///
     /// # Errors
     /// Fails where the histogram of gaps cannot be set up.
-    pub fn text(&self) -> Result<String, BenchError> {
+    pub(super) fn text(&self) -> Result<String, BenchError> {
         let mut text = self.totals_text()?;
         for row in self.rows.iter().filter(|row| !row.holds()) {
             text += &format!(
@@ -126,7 +126,7 @@
     ///
     /// # Errors
     /// Fails where the histogram of gaps cannot be set up.
-    pub fn json(&self) -> Result<String, BenchError> {
+    pub(super) fn json(&self) -> Result<String, BenchError> {
         let Gaps {
             p50,
             p90,
@@ -151,8 +151,8 @@
         Ok(serde_json::to_string_pretty(&report)? + "\n")
     }
 
-    /// JUnit's XML with a case for each seed.
-    pub fn junit(&self) -> String {
+    /// `JUnit` XML with a case for each seed.
+    pub(super) fn junit(&self) -> String {
         let cases: Vec<String> = self.rows.iter().map(|row| self.junit_case(row)).collect();
         junit_suite("trials", &cases)
     }
--- a/crates/bench/src/trial/rows.rs
+++ b/crates/bench/src/trial/rows.rs
@@ -13,7 +13,7 @@
 
 /// The first line: what the rows are of.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
-pub struct RowFileHead {
+pub(super) struct RowFileHead {
     /// The text of the scenario.
     #[serde(rename = "story")]
     pub scenario: String,
@@ -23,11 +23,11 @@
 
 /// A file that rows are appended to.
 #[derive(Debug)]
-pub struct RowFile(File);
+pub(super) struct RowFile(File);
 
 /// The rows of an interrupted series, and the file to continue with where there is one.
 #[derive(Debug, Default)]
-pub struct StoredRows {
+pub(super) struct StoredRows {
     /// The rows.
     pub rows: Vec<Row>,
     /// The file.
@@ -39,7 +39,7 @@
     ///
     /// # Errors
     /// Fails where the file cannot be read or written, or where its rows are of another scenario.
-    pub fn resume(path: &Path, head: &RowFileHead) -> Result<StoredRows, BenchError> {
+    pub(super) fn resume(path: &Path, head: &RowFileHead) -> Result<StoredRows, BenchError> {
         let text = match std::fs::read_to_string(path) {
             Err(error) if error.kind() == io::ErrorKind::NotFound => String::new(),
             read => read.map_err(BenchError::at(path))?,
@@ -67,7 +67,7 @@
     ///
     /// # Errors
     /// Fails where the row cannot be written.
-    pub fn append(&mut self, row: &Row) -> Result<(), BenchError> {
+    pub(super) fn append(&mut self, row: &Row) -> Result<(), BenchError> {
         let line = serde_json::to_string(row)?;
         writeln!(self.0, "{line}").map_err(BenchError::StoreRow)
     }
--- a/crates/bench/src/trial/series.rs
+++ b/crates/bench/src/trial/series.rs
@@ -9,7 +9,7 @@
 use std::sync::Mutex;
 
 /// A series of runs of one scenario.
-pub struct Series<'a, MakeTestbed> {
+pub(super) struct Series<'a, MakeTestbed> {
     /// The scenario.
     pub scenario: &'a Scenario,
     /// The seeds.
@@ -31,7 +31,7 @@
     ///
     /// # Errors
     /// Returns the first error of a run or of its storage, after all runs.
-    pub fn run(&self, stored: StoredRows) -> Result<Vec<Row>, BenchError> {
+    pub(super) fn run(&self, stored: StoredRows) -> Result<Vec<Row>, BenchError> {
         let done: BTreeSet<u64> = stored.rows.iter().map(|row| row.seed).collect();
         let next = AtomicU64::new(self.seeds.first);
         let collected = Mutex::new(Collected {
--- a/crates/simulation/tests/simulation/scenario.rs
+++ b/crates/simulation/tests/simulation/scenario.rs
@@ -11,18 +11,18 @@
     ScenarioEvent, Step,
 };
 
-pub const MILLISECOND: Nanos = 1_000_000;
-pub const SECOND: Nanos = 1_000 * MILLISECOND;
-pub const START: Nanos = 1_000_000 * SECOND;
+pub(crate) const MILLISECOND: Nanos = 1_000_000;
+pub(crate) const SECOND: Nanos = 1_000 * MILLISECOND;
+pub(crate) const START: Nanos = 1_000_000 * SECOND;
 
 /// An idempotent class.
-pub const BED_CHECK: ClassIndex = ClassIndex(0);
+pub(crate) const BED_CHECK: ClassIndex = ClassIndex(0);
 /// A class with idempotency keys.
-pub const BED_HOLD: ClassIndex = ClassIndex(1);
-pub const BED_CHECK_DEADLINE: Nanos = 7_500 * MILLISECOND;
-pub const BED_HOLD_DEADLINE: Nanos = 4 * SECOND;
+pub(crate) const BED_HOLD: ClassIndex = ClassIndex(1);
+pub(crate) const BED_CHECK_DEADLINE: Nanos = 7_500 * MILLISECOND;
+pub(crate) const BED_HOLD_DEADLINE: Nanos = 4 * SECOND;
 
-pub fn classes() -> Vec<Class> {
+pub(crate) fn classes() -> Vec<Class> {
     let class = Class {
         dedup_scope: DedupScope::All,
         dedup_window: 4 * SECOND,
@@ -47,7 +47,7 @@
     vec![bed_check, bed_hold]
 }
 
-pub fn settings() -> Settings {
+pub(crate) fn settings() -> Settings {
     Settings {
         classes: classes(),
         plans: vec![Plan {
@@ -97,7 +97,7 @@
     }
 }
 
-pub fn scenario(hosts: u32, steps: Vec<Step>) -> Scenario {
+pub(crate) fn scenario(hosts: u32, steps: Vec<Step>) -> Scenario {
     let process = |name: String, zone| Process {
         name,
         zone: ZoneId(zone),
@@ -135,7 +135,7 @@
     }
 }
 
-pub fn request(operation: u64, class: ClassIndex, limiter: LimiterIndex) -> ScenarioEvent {
+pub(crate) fn request(operation: u64, class: ClassIndex, limiter: LimiterIndex) -> ScenarioEvent {
     let timeout = if class == BED_CHECK {
         BED_CHECK_DEADLINE
     } else {
@@ -158,7 +158,7 @@
     })
 }
 
-pub fn step(moments: &[Nanos], event: ScenarioEvent) -> Step {
+pub(crate) fn step(moments: &[Nanos], event: ScenarioEvent) -> Step {
     Step {
         moments: moments.to_vec(),
         event,
@@ -167,12 +167,12 @@
 }
 
 /// The limiter of a request that comes through all of them in turn.
-pub fn limiter_in_turn(request: u64) -> LimiterIndex {
+pub(crate) fn limiter_in_turn(request: u64) -> LimiterIndex {
     LimiterIndex((request % 3) as u32)
 }
 
 /// Requests of alternating classes through all limiters in turn.
-pub fn mixed_requests(count: u64, interval: Nanos) -> Vec<Step> {
+pub(crate) fn mixed_requests(count: u64, interval: Nanos) -> Vec<Step> {
     (0..count)
         .map(|number| {
             let class = if number % 2 == 0 { BED_CHECK } else { BED_HOLD };
--- a/tests/export/scenario.rs
+++ b/tests/export/scenario.rs
@@ -10,7 +10,7 @@
 const REQUESTS: u64 = 500;
 const REQUEST_INTERVAL_MS: u64 = 10;
 const CUSTOMERS: usize = 5;
-pub const LIMITERS: usize = 3;
+pub(crate) const LIMITERS: usize = 3;
 const HOSTS: usize = 3;
 const WORK_MS: u64 = 15;
 const CLIENT_TIMEOUT_MS: u64 = 1_500;
@@ -31,7 +31,7 @@
 }
 
 /// Five customers send requests for five seconds; each limiter is killed once from outside, and started again.
-pub fn scenario() -> Scenario {
+pub(crate) fn scenario() -> Scenario {
     let topology = LoadTopology {
         limiters: LIMITERS,
         hosts: HOSTS,
--- a/tests/golden/quota_window.rs
+++ b/tests/golden/quota_window.rs
@@ -11,7 +11,7 @@
 
 /// The example configuration, with the longest window for the plan of the example requests, and with so long a timeout of
 /// the counter that no reply of a busy machine counts as slow: a limiter calls a slow counter for some requests only.
-pub fn with_steady_quotas(text: String) -> String {
+pub(crate) fn with_steady_quotas(text: String) -> String {
     let text = with_long_deadline(text);
     let text = replace(&text, "\"refill\": 17.0", "\"refill\": 0.0001");
     replace(
@@ -26,16 +26,16 @@
 const MIN_WINDOW_AGE: Duration = Duration::from_millis(100);
 
 /// The fact of a request that uses hardly any of its quota.
-pub const FEW_UNITS: &str = "units=0.001";
+pub(crate) const FEW_UNITS: &str = "units=0.001";
 
 /// The facts of a request that waits for as long as a busy machine may take.
-pub fn with_long_wait(facts: &str) -> String {
+pub(crate) fn with_long_wait(facts: &str) -> String {
     replace(facts, "d=900", "d=20000")
 }
 
 /// The result of a scenario that takes place within one window, not at its very beginning. A scenario that the end of a
 /// window cuts is repeated: its requests are counted in two windows.
-pub fn within_one_window(scenario: impl Fn() -> String) -> String {
+pub(crate) fn within_one_window(scenario: impl Fn() -> String) -> String {
     loop {
         let window = current_window();
         if window.age < MIN_WINDOW_AGE {
@@ -50,7 +50,7 @@
 }
 
 /// A window at a moment.
-pub struct Window {
+pub(crate) struct Window {
     pub index: u128,
     /// How long ago it began.
     age: Duration,
@@ -58,12 +58,12 @@
 
 impl Window {
     /// The units of the example plan that have been refilled since the window began.
-    pub fn refilled_units(&self) -> f64 {
+    pub(crate) fn refilled_units(&self) -> f64 {
         UNITS_PER_WINDOW * self.age.as_secs_f64() / LONGEST_WINDOW.as_secs_f64()
     }
 }
 
-pub fn current_window() -> Window {
+pub(crate) fn current_window() -> Window {
     let unix = SystemTime::UNIX_EPOCH
         .elapsed()
         .expect("the clock is later than 1970");
--- a/tests/golden/recorder.rs
+++ b/tests/golden/recorder.rs
@@ -14,19 +14,19 @@
 type Answer = Arc<dyn Fn(&str) -> Option<String> + Send + Sync>;
 
 /// A service that records each message and answers it by a function.
-pub struct RecordingService {
+pub(crate) struct RecordingService {
     pub address: SocketAddr,
     received: mpsc::Receiver<String>,
 }
 
 impl RecordingService {
     /// A service that is called in RESP.
-    pub fn resp(answer: impl Fn(&str) -> Option<String> + Send + Sync + 'static) -> Self {
+    pub(crate) fn resp(answer: impl Fn(&str) -> Option<String> + Send + Sync + 'static) -> Self {
         Self::start(resp_command_length, Arc::new(answer))
     }
 
     /// A service that is called in HTTP, with requests that have no body.
-    pub fn http(answer: impl Fn(&str) -> Option<String> + Send + Sync + 'static) -> Self {
+    pub(crate) fn http(answer: impl Fn(&str) -> Option<String> + Send + Sync + 'static) -> Self {
         Self::start(http_head_length, Arc::new(answer))
     }
 
@@ -44,7 +44,7 @@
     }
 
     /// The next message that any connection has brought.
-    pub fn next_message(&self) -> String {
+    pub(crate) fn next_message(&self) -> String {
         self.received
             .recv_timeout(RECEIVE_TIMEOUT)
             .expect("the limiter calls")
@@ -132,7 +132,7 @@
 
 /// A command whose arguments are replaced by a function, with the lengths that follow from that. The bytes received are
 /// the one form in which a command is written.
-pub fn with_arguments(command: &str, replace: impl Fn(&str) -> String) -> String {
+pub(crate) fn with_arguments(command: &str, replace: impl Fn(&str) -> String) -> String {
     let parsed = parse_command(command.as_bytes()).expect("the command is complete");
     assert_eq!(encode_command(&parsed.arguments), command);
     let replaced: Vec<String> = parsed.arguments.iter().map(|text| replace(text)).collect();
