--- a/crates/bench/src/trial/plot.rs
+++ b/crates/bench/src/trial/plot.rs
@@ -1,4 +1,4 @@
-//! The picture of a run: a row for each limiter, its actions as the target accepted or refused them, and its faults
+//! The picture of a run: a row for each limiter, its actions as the target accepted or rejected them, and its faults
 //! over their time.
 
 use plotters::coord::types::RangedCoordf64;
@@ -26,7 +26,7 @@
 /// Half the height of a fault's area, as a part of its row.
 const FAULT_HALF_HEIGHT: f64 = 0.42;
 const ACCEPTED_HALF_HEIGHT: f64 = 0.2;
-const REFUSED_HALF_HEIGHT: f64 = 0.36;
+const REJECTED_HALF_HEIGHT: f64 = 0.36;
 /// Shorter actions would not be visible.
 const MIN_ACTION_SECONDS: f64 = 0.002;
 
@@ -136,7 +136,7 @@
     let root = SVGBackend::new(file, (WIDTH, height)).into_drawing_area();
     root.fill(&WHITE)?;
     let title = format!(
-        "seed {seed}: {} limiters, {} voters; acts let in (green), refused (red)",
+        "seed {seed}: {} limiters, {} acceptors; operations accepted (green), rejected (red)",
         scenario.limiters, scenario.voters
     );
     let duration: Duration = report.duration;
@@ -196,7 +196,7 @@
     let (half_height, style) = if action.accepted {
         (ACCEPTED_HALF_HEIGHT, GREEN.filled())
     } else {
-        (REFUSED_HALF_HEIGHT, RED.filled())
+        (REJECTED_HALF_HEIGHT, RED.filled())
     };
     let area = [(from, row - half_height), (to, row + half_height)];
     chart.draw_series([Rectangle::new(area, style)])?;
--- a/crates/bench/src/trial/report.rs
+++ b/crates/bench/src/trial/report.rs
@@ -32,7 +32,7 @@
     p50: f64,
     p90: f64,
     p99: f64,
-    most: f64,
+    max: f64,
 }
 
 impl SeriesReport<'_> {
@@ -60,7 +60,7 @@
             p50: at_ms(0.5),
             p90: at_ms(0.9),
             p99: at_ms(0.99),
-            most: at_ms(1.0),
+            max: at_ms(1.0),
         })
     }
 
@@ -77,32 +77,25 @@
     /// # Errors
     /// Fails where the histogram of gaps cannot be set up.
     pub(super) fn text(&self) -> Result<String, BenchError> {
-        let mut text = self.totals_text()?;
-        for row in self.rows.iter().filter(|row| !row.holds()) {
-            text += &format!(
-                "seed {}: {}  again: {}\n",
-                row.seed,
-                row.finding,
-                self.command_for(row.seed)
-            );
-        }
-        Ok(text)
+        let failed = self.rows.iter().filter(|row| !row.holds());
+        let findings: Vec<String> = failed.map(|row| self.finding_text(row)).collect();
+        Ok(self.totals_text()? + &findings.concat())
+    }
+
+    fn finding_text(&self, row: &Row) -> String {
+        let command = self.command_for(row.seed);
+        format!("seed {}: {}  again: {command}\n", row.seed, row.finding)
     }
 
     fn totals_text(&self) -> Result<String, BenchError> {
-        let Gaps {
-            p50,
-            p90,
-            p99,
-            most,
-        } = self.gaps()?;
+        let Gaps { p50, p90, p99, max } = self.gaps()?;
         let testbed_cpu_s: f64 = self.rows.iter().map(|row| row.testbed_cpu_s).sum();
         Ok(format!(
-            "{} trials of {} limiters, {} voters, in {:.0} s: {} acts let in, {} refused, {} changes of holder, {} of \
-             them while the holder before was paused\nold tokens let in {}, acts at once {}, empty trials {}\n\
-             held by nobody, ms: p50 {p50:.0}, p90 {p90:.0}, p99 {p99:.0}, most {most:.0}\n\
-             a limiter a second: {:.1} datagrams, {:.0} bytes, {:.2} ms of CPU; peak memory {} kB\n\
-             the ground itself: {:.2} s of CPU a trial\n",
+            "{} trials of {} limiters, {} acceptors, in {:.0} s: {} operations accepted, {} rejected, {} changes of holder, \
+             {} of them while the previous holder was paused\nstale tokens accepted {}, overlapping operations {}, \
+             empty trials {}\ntime without a holder, ms: p50 {p50:.0}, p90 {p90:.0}, p99 {p99:.0}, max {max:.0}\n\
+             per limiter and second: {:.1} datagrams, {:.0} bytes, {:.2} ms of CPU; peak memory {} kB\n\
+             testbed: {:.2} s of CPU per trial\n",
             self.rows.len(),
             self.scenario.limiters,
             self.scenario.voters,
@@ -127,12 +120,7 @@
     /// # Errors
     /// Fails where the histogram of gaps cannot be set up.
     pub(super) fn json(&self) -> Result<String, BenchError> {
-        let Gaps {
-            p50,
-            p90,
-            p99,
-            most,
-        } = self.gaps()?;
+        let Gaps { p50, p90, p99, max } = self.gaps()?;
         let report = json!({
             "story": self.file,
             "limiters": self.scenario.limiters,
@@ -145,7 +133,7 @@
             "old_tokens": self.sum(|row| row.stale_tokens),
             "at_once": self.sum(|row| row.overlaps),
             "empty": self.empty_runs(),
-            "gaps_ms": [p50, p90, p99, most],
+            "gaps_ms": [p50, p90, p99, max],
             "rows": self.rows,
         });
         Ok(serde_json::to_string_pretty(&report)? + "\n")
--- a/crates/bench/src/trial/report/tests.rs
+++ b/crates/bench/src/trial/report/tests.rs
@@ -2,40 +2,49 @@
 
 use super::*;
 
-/// A valid seed and one that fails.
-fn rows() -> [Row; 2] {
-    let valid = Row {
-        seed: 1,
-        changes: 2,
-        gaps_us: vec![1_000, 3_000],
-        ..Row::default()
-    };
-    let failing = Row {
-        seed: 2,
-        stale_tokens: 1,
-        finding: "an old token was let in\n".into(),
-        ..Row::default()
-    };
-    [valid, failing]
+/// A series with a valid seed and one that fails.
+struct Series {
+    scenario: Scenario,
+    rows: [Row; 2],
 }
 
-/// Writes the report of the series in one format.
-fn write_report<T>(write: impl Fn(&SeriesReport<'_>) -> T) -> T {
-    let text = "limiters: 3\nvoters: 3\nend: 2s\n";
-    let scenario = Scenario::read("s.yaml", text).expect("the scenario is valid");
-    write(&SeriesReport {
-        file: "s.yaml",
-        scenario: &scenario,
-        rows: &rows(),
-        elapsed: Duration::from_secs(1),
-    })
+impl Series {
+    fn new() -> Self {
+        let text = "limiters: 3\nvoters: 3\nend: 2s\n";
+        let scenario = Scenario::read("s.yaml", text).expect("the scenario is valid");
+        let valid = Row {
+            seed: 1,
+            changes: 2,
+            gaps_us: vec![1_000, 3_000],
+            ..Row::default()
+        };
+        let failing = Row {
+            seed: 2,
+            stale_tokens: 1,
+            finding: "an old token was let in\n".into(),
+            ..Row::default()
+        };
+        Series {
+            scenario,
+            rows: [valid, failing],
+        }
+    }
+
+    fn report(&self) -> SeriesReport<'_> {
+        SeriesReport {
+            file: "s.yaml",
+            scenario: &self.scenario,
+            rows: &self.rows,
+            elapsed: Duration::from_secs(1),
+        }
+    }
 }
 
 #[test]
 fn text_names_totals_the_finding_and_the_command_of_the_failing_seed() {
-    let text = write_report(|report| report.text()).expect("a text");
+    let text = Series::new().report().text().expect("a text");
     for part in [
-        "old tokens let in 1",
+        "stale tokens accepted 1",
         "p50 1, p90 3",
         "an old token was let in",
         "trial s.yaml --seeds 2..2",
@@ -46,7 +55,7 @@
 
 #[test]
 fn json_has_totals_and_rows() {
-    let json = write_report(|report| report.json()).expect("a text");
+    let json = Series::new().report().json().expect("a text");
     let json: serde_json::Value = serde_json::from_str(&json).expect("JSON");
     assert_eq!(json["holds"], false);
     assert_eq!(json["old_tokens"], 1);
@@ -55,7 +64,7 @@
 
 #[test]
 fn junit_counts_failures_and_has_the_command_of_the_failing_seed() {
-    let junit = write_report(|report| report.junit());
+    let junit = Series::new().report().junit();
     assert!(
         junit.contains("tests=\"2\" failures=\"1\"") && junit.contains("--seeds 2..2"),
         "{junit}"
