--- a/tests/golden/handoff.rs
+++ b/tests/golden/handoff.rs
@@ -28,7 +28,7 @@
         let name = format!("quartzcleat-{SUCCESSOR_STARTED_AT:x}-1");
         let file = |suffix: &str| limiter.folder.join(format!("{name}.{suffix}"));
         let lock = File::create(file("lock")).expect("the lock is made");
-        lock.try_lock().expect("nobody else holds it");
+        lock.try_lock().expect("no other process holds the lock");
         let state = format!(
             r#"{{"version":1,"name":"toy","listen":"{}","born":{SUCCESSOR_STARTED_AT},"serving":false,{}}}"#,
             limiter.address, r#""drain":{"on":false,"at":0},"words":{},"listed":[]"#
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -1,96 +1,124 @@
 //! The parsers against random cuts of valid messages, random damage and random garbage, from fixed seeds.
 
+#![expect(
+    clippy::needless_pass_by_value,
+    reason = "quickcheck passes generated values by value to the properties"
+)]
+
 use quartzcleat::net::config::{self, Limits};
 use quartzcleat::net::discovery::http::parse_response;
 use quartzcleat::net::resp::codec::{self, Reply};
 use quickcheck::{Gen, QuickCheck, Testable};
+use std::ops::Range;
+
+/// The size of generated values.
+const GENERATED_SIZE: usize = 60;
+/// The generated cases of a property.
+const CASES: u64 = 300;
+/// The largest response of discovery that is accepted, in bytes.
+const MAX_RESPONSE_BYTES: usize = 1 << 10;
 
 fn limits() -> Limits {
     config::parse(include_str!("../examples/toy.json"), |_| None)
-        .expect("the example is sound")
+        .expect("the example is valid")
         .limits
 }
 
 fn check(seed: u64, property: impl Testable) {
     QuickCheck::new()
-        .rng(Gen::from_size_and_seed(60, seed))
-        .tests(300)
+        .rng(Gen::from_size_and_seed(GENERATED_SIZE, seed))
+        .tests(CASES)
         .quickcheck(property);
 }
 
-/// A message is incomplete at every cut, and is read without the bytes behind it.
-fn whole<T>(message: &[u8], parse: impl Fn(&[u8]) -> Option<(T, usize)>) -> Option<T> {
-    let early = (0..message.len()).any(|cut| parse(&message[..cut]).is_some());
-    let (read, length) = parse(&[message, b"*1"].concat())?;
-    (!early && length == message.len()).then_some(read)
+/// A parsed value and the length of its message.
+struct Parsed<T> {
+    value: T,
+    length: usize,
+}
+
+/// The value of a message, if the message is incomplete at every cut and is parsed without the bytes behind it.
+fn parse_complete<T>(message: &[u8], parse: impl Fn(&[u8]) -> Option<Parsed<T>>) -> Option<T> {
+    let is_parsed_early = (0..message.len()).any(|cut| parse(&message[..cut]).is_some());
+    let parsed = parse(&[message, b"*1"].concat())?;
+    (!is_parsed_early && parsed.length == message.len()).then_some(parsed.value)
 }
 
 #[test]
 fn commands_survive_any_cut() {
-    fn cut(words: Vec<Vec<u8>>) -> bool {
-        let (limits, mut message) = (limits(), Vec::new());
-        let words: Vec<&[u8]> = words
+    fn is_parsed_when_complete(arguments: Vec<Vec<u8>>) -> bool {
+        let limits = limits();
+        let arguments: Vec<&[u8]> = arguments
             .iter()
             .take(limits.codec.max_arguments)
             .map(Vec::as_slice)
             .collect();
-        codec::write_command(&words, &mut message);
-        let read = whole(&message, |bytes| {
+        let mut message = Vec::new();
+        codec::write_command(&arguments, &mut message);
+        let parsed = parse_complete(&message, |bytes| {
             let command = codec::parse_command(bytes, &limits).expect("no cut is malformed")?;
-            let word = |place: std::ops::Range<usize>| bytes[place].to_vec();
-            Some((
-                command
-                    .arguments
-                    .into_iter()
-                    .flatten()
-                    .map(word)
-                    .collect::<Vec<_>>(),
-                command.length,
-            ))
+            let argument = |range: Range<usize>| bytes[range].to_vec();
+            let arguments = command.arguments.into_iter().flatten();
+            Some(Parsed {
+                value: arguments.map(argument).collect::<Vec<_>>(),
+                length: command.length,
+            })
         });
-        read.is_some_and(|read| read == words)
+        parsed.is_some_and(|parsed| parsed == arguments)
     }
-    check(1, cut as fn(Vec<Vec<u8>>) -> bool);
+    check(1, is_parsed_when_complete as fn(Vec<Vec<u8>>) -> bool);
 }
 
 #[test]
 fn replies_survive_any_cut() {
-    fn cut(value: Vec<u8>, number: i64, report: Option<Vec<u8>>) -> bool {
-        let (limits, mut message) = (limits(), b"*4\r\n".to_vec());
+    fn is_parsed_when_complete(value: Vec<u8>, number: i64, report: Option<Vec<u8>>) -> bool {
+        let limits = limits();
+        let mut message = b"*4\r\n".to_vec();
         codec::write_bulk(&value, &mut message);
         message.extend_from_slice(format!(":{number}\r\n*1\r\n-ERR failed\r\n").as_bytes());
         match &report {
             Some(report) => codec::write_bulk(report, &mut message),
             None => message.extend_from_slice(b"$-1\r\n"),
         }
-        let read = whole(&message, |bytes| {
+        let reply = parse_complete(&message, |bytes| {
             let parsed = codec::parse_reply(bytes, &limits).expect("no cut is malformed")?;
-            Some((parsed.reply, parsed.length))
+            Some(Parsed {
+                value: parsed.reply,
+                length: parsed.length,
+            })
         });
-        let Some(Reply::Array(Some(members))) = read else {
+        let Some(Reply::Array(Some(members))) = reply else {
             return false;
         };
-        let [Reply::Bulk(Some(first)), Reply::Integer(second), Reply::Array(Some(third)), Reply::Bulk(last)] =
+        let [Reply::Bulk(Some(parsed_value)), Reply::Integer(parsed_number), Reply::Array(Some(nested)), Reply::Bulk(parsed_report)] =
             members.as_slice()
         else {
             return false;
         };
-        let inner = matches!(third.as_slice(), [Reply::Error(place)] if &message[place.clone()] == b"ERR failed");
-        let last = last.clone().map(|place| message[place].to_vec());
-        message[first.clone()] == value && *second == number && inner && last == report
+        let [Reply::Error(error)] = nested.as_slice() else {
+            return false;
+        };
+        let parsed_report = parsed_report.clone().map(|range| message[range].to_vec());
+        message[parsed_value.clone()] == value
+            && *parsed_number == number
+            && &message[error.clone()] == b"ERR failed"
+            && parsed_report == report
     }
-    check(2, cut as fn(Vec<u8>, i64, Option<Vec<u8>>) -> bool);
+    check(
+        2,
+        is_parsed_when_complete as fn(Vec<u8>, i64, Option<Vec<u8>>) -> bool,
+    );
 }
 
 #[test]
 fn lists_survive_any_cut_whole_and_in_chunks() {
-    fn cut(body: Vec<u8>, chunk: u8, chunked: bool) -> bool {
+    fn is_parsed_when_complete(body: Vec<u8>, chunk_length: u8, chunked: bool) -> bool {
         let mut message = b"HTTP/1.1 200 OK\r\n".to_vec();
         if chunked {
             message.extend_from_slice(b"Transfer-Encoding: chunked\r\nConnection: close\r\n\r\n");
-            for part in body.chunks(usize::from(chunk).max(1)) {
-                message.extend_from_slice(format!("{:x}\r\n", part.len()).as_bytes());
-                message.extend_from_slice(part);
+            for chunk in body.chunks(usize::from(chunk_length).max(1)) {
+                message.extend_from_slice(format!("{:x}\r\n", chunk.len()).as_bytes());
+                message.extend_from_slice(chunk);
                 message.extend_from_slice(b"\r\n");
             }
             message.extend_from_slice(b"0\r\n\r\n");
@@ -98,67 +126,75 @@
             message.extend_from_slice(format!("content-length: {}\r\n\r\n", body.len()).as_bytes());
             message.extend_from_slice(&body);
         }
-        let read = whole(&message, |bytes| {
+        let response = parse_complete(&message, |bytes| {
             let response = parse_response(bytes, 1 << 20).expect("no cut is malformed")?;
-            let length = response.length;
-            Some((response, length))
+            Some(Parsed {
+                length: response.length,
+                value: response,
+            })
         });
-        read.is_some_and(|read| {
-            read.body == body && read.status == 200 && read.keep_alive != chunked
+        response.is_some_and(|response| {
+            response.body == body && response.status == 200 && response.keep_alive != chunked
         })
     }
-    check(3, cut as fn(Vec<u8>, u8, bool) -> bool);
+    check(3, is_parsed_when_complete as fn(Vec<u8>, u8, bool) -> bool);
 }
 
-/// Whatever comes, what a parser says it read lies within it.
+/// Whether the lengths and ranges that the parsers return lie within their input.
 fn stays_within(bytes: &[u8]) -> bool {
     let limits = limits();
     let command = codec::parse_command(bytes, &limits).ok().flatten();
     let reply = codec::parse_reply(bytes, &limits).ok().flatten();
-    let list = parse_response(bytes, 1 << 10).ok().flatten();
-    command.is_none_or(|c| {
-        c.length <= bytes.len() && c.arguments.iter().flatten().all(|w| w.end <= c.length)
-    }) && reply.is_none_or(|parsed| parsed.length <= bytes.len())
-        && list.is_none_or(|r| r.length <= bytes.len() && r.body.len() <= 1 << 10)
+    let response = parse_response(bytes, MAX_RESPONSE_BYTES).ok().flatten();
+    let is_command_within = command.is_none_or(|command| {
+        let mut arguments = command.arguments.iter().flatten();
+        command.length <= bytes.len() && arguments.all(|range| range.end <= command.length)
+    });
+    let is_reply_within = reply.is_none_or(|parsed| parsed.length <= bytes.len());
+    let is_response_within = response.is_none_or(|response| {
+        response.length <= bytes.len() && response.body.len() <= MAX_RESPONSE_BYTES
+    });
+    is_command_within && is_reply_within && is_response_within
 }
 
 #[test]
 fn garbage_is_survived() {
-    /// Garbage out of the characters that mean something, so that it gets far into the parsers.
-    fn garbage(bytes: Vec<u8>) -> bool {
-        let signs = b"*$+-:0123\r\n\r\n\r\n1x";
-        let meant: Vec<u8> = bytes
+    /// Random bytes as they are, and mapped to characters of the protocol, which get further into the parsers.
+    fn stays_within_garbage(bytes: Vec<u8>) -> bool {
+        let protocol_characters = b"*$+-:0123\r\n\r\n\r\n1x";
+        let mapped: Vec<u8> = bytes
             .iter()
-            .map(|byte| signs[usize::from(*byte) % signs.len()])
+            .map(|byte| protocol_characters[usize::from(*byte) % protocol_characters.len()])
             .collect();
-        let head = [
+        let chunked_response = [
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
-            meant.as_slice(),
+            mapped.as_slice(),
         ]
         .concat();
-        stays_within(&bytes) && stays_within(&meant) && stays_within(&head)
+        stays_within(&bytes) && stays_within(&mapped) && stays_within(&chunked_response)
     }
-    check(4, garbage as fn(Vec<u8>) -> bool);
+    check(4, stays_within_garbage as fn(Vec<u8>) -> bool);
 }
 
 #[test]
 fn damage_is_survived() {
-    fn damaged(words: Vec<Vec<u8>>, place: usize, byte: u8) -> bool {
+    fn stays_within_damaged_command(arguments: Vec<Vec<u8>>, position: usize, byte: u8) -> bool {
+        let arguments: Vec<&[u8]> = arguments.iter().map(Vec::as_slice).collect();
         let mut message = Vec::new();
-        codec::write_command(
-            &words.iter().map(Vec::as_slice).collect::<Vec<_>>(),
-            &mut message,
-        );
-        let place = place % message.len();
-        message[place] = byte;
+        codec::write_command(&arguments, &mut message);
+        let position = position % message.len();
+        message[position] = byte;
         stays_within(&message)
     }
-    check(5, damaged as fn(Vec<Vec<u8>>, usize, u8) -> bool);
+    check(
+        5,
+        stays_within_damaged_command as fn(Vec<Vec<u8>>, usize, u8) -> bool,
+    );
 }
 
-/// What could ask for more memory than there is must be refused at its first bytes, not waited for.
+/// A message whose announced length exceeds the limits is an error at its first bytes, so that it is never buffered.
 #[test]
-fn what_is_too_large_is_refused_before_it_comes() {
+fn oversized_or_malformed_message_is_rejected_at_its_first_bytes() {
     let limits = limits();
     for bytes in [
         "*17\r\n",
@@ -186,7 +222,7 @@
             "{bytes:?}"
         );
     }
-    let long = vec![b'+'; 2000];
-    assert!(codec::parse_reply(&long, &limits).is_err());
+    let unterminated_line = vec![b'+'; 2000];
+    assert!(codec::parse_reply(&unterminated_line, &limits).is_err());
     assert!(parse_response(b"HTTP/1.1 200 OK\r\ncontent-length: 99999\r\n\r\n", 100).is_err());
 }
--- a/tests/quota/call_sampling.rs
+++ b/tests/quota/call_sampling.rs
@@ -42,10 +42,10 @@
         }
     }
     assert!((100..1_500).contains(&calls), "{calls} of 2,000 called");
-    let part = added / 4_000.0;
+    let counted_fraction = added / 4_000.0;
     assert!(
-        (0.85..1.15).contains(&part),
-        "the count holds {part} of what was used"
+        (0.85..1.15).contains(&counted_fraction),
+        "{counted_fraction} of the used units are counted"
     );
 }
 
