--- a/crates/invariants/src/timeline.rs
+++ b/crates/invariants/src/timeline.rs
@@ -53,13 +53,13 @@
             | Fact::ClientLeft { request } => self.request_fact(&self.request(*request), fact),
             Fact::AttemptSent { .. } | Fact::HostStateLearned { .. } => self.limiter_fact(fact),
             Fact::HostStarted { host } => {
-                format!("{} has just started, cold", processes.host(*host))
+                format!("{} starts and is warming up", processes.host(*host))
             }
             Fact::HostOverloaded { host } => format!(
-                "{} falls over: sent more than it can do while cold",
+                "{} is overloaded: it received more than it can execute while warming up",
                 processes.host(*host)
             ),
-            Fact::LimiterDied { limiter } => format!("{} dies", processes.limiter(*limiter)),
+            Fact::LimiterDied { limiter } => format!("{} crashes", processes.limiter(*limiter)),
             Fact::Note(text) => text.clone(),
         }
     }
@@ -74,7 +74,7 @@
                 units,
                 ..
             } => format!(
-                "{request} comes to {}: a {} of {units} units from {}",
+                "{request} arrives at {}: a {} of {units} units from {}",
                 self.processes.limiter(*limiter),
                 self.processes.class(*class),
                 self.processes.partner(*partner),
@@ -84,9 +84,9 @@
             } => {
                 let host = self.processes.host(*host);
                 if *deduplicated {
-                    format!("{host} drops {request} as a repeat")
+                    format!("{host} deduplicates {request}")
                 } else {
-                    format!("{host} runs {request}")
+                    format!("{host} executes {request}")
                 }
             }
             Fact::AttemptEnded {
@@ -98,7 +98,7 @@
             ),
             Fact::UnitsSettled { units, .. } => format!("{request} is settled at {units} units"),
             Fact::Answered { answer, .. } => format!("{request} is {}", answer_text(*answer)),
-            Fact::ClientLeft { .. } => format!("the client of {request} goes away"),
+            Fact::ClientLeft { .. } => format!("the client of {request} disconnects"),
             _ => String::new(),
         }
     }
@@ -111,7 +111,7 @@
                 host,
                 state,
             } => format!(
-                "{} is told that {} {}",
+                "{} is notified that {} {}",
                 self.processes.limiter(*limiter),
                 self.processes.host(*host),
                 state_text(*state)
@@ -127,7 +127,11 @@
                 self.processes.limiter(*limiter),
                 self.request(*request),
                 self.processes.host(*host),
-                if *warming_up { ", which is cold" } else { "" },
+                if *warming_up {
+                    ", which is warming up"
+                } else {
+                    ""
+                },
                 attempt.0 + 1
             ),
             _ => String::new(),
@@ -148,8 +152,8 @@
 
 fn state_text(state: HostState) -> &'static str {
     match state {
-        HostState::Ready => "serves",
-        HostState::Draining => "drains",
+        HostState::Ready => "is ready",
+        HostState::Draining => "is draining",
         HostState::Gone => "is gone",
     }
 }
@@ -157,9 +161,9 @@
 fn answer_text(answer: Answer) -> String {
     match answer {
         Answer::Served => "served".to_owned(),
-        Answer::Rejected(0) => "refused".to_owned(),
+        Answer::Rejected(0) => "rejected".to_owned(),
         Answer::Rejected(retry_after) => {
-            format!("refused, to come back after {}", milliseconds(retry_after))
+            format!("rejected, with retry_after {}", milliseconds(retry_after))
         }
         Answer::Failed => "failed".to_owned(),
     }
@@ -167,13 +171,13 @@
 
 fn outcome_text(outcome: Outcome) -> &'static str {
     match outcome {
-        Outcome::Good => "done",
-        Outcome::Error => "an error; it may have run",
-        Outcome::Rejected => "turned away",
-        Outcome::Timeout => "no answer in time; it may have run",
-        Outcome::ConnectFailed => "no connection",
-        Outcome::Reset => "the connection broke; it may have run",
-        Outcome::Cancelled => "taken back; it may have run",
+        Outcome::Good => "success",
+        Outcome::Error => "error; it may have been executed",
+        Outcome::Rejected => "rejected",
+        Outcome::Timeout => "timeout; it may have been executed",
+        Outcome::ConnectFailed => "connection failed",
+        Outcome::Reset => "connection reset; it may have been executed",
+        Outcome::Cancelled => "cancelled; it may have been executed",
         Outcome::NeverSent => "not sent",
     }
 }
