--- a/crates/fakes/src/client.rs
+++ b/crates/fakes/src/client.rs
@@ -102,7 +102,7 @@
 async fn send(context: &Context, client_request: &ClientRequest) -> Option<Answer> {
     let Some(address) = context.limiter_address(client_request.limiter) else {
         let limiter = context.scenario.processes.limiter(client_request.limiter);
-        context.remark(format!("{limiter} takes no connection"));
+        context.remark(format!("{limiter} accepts no connection"));
         return None;
     };
     let id = context.next_request();
--- a/crates/fakes/src/events.rs
+++ b/crates/fakes/src/events.rs
@@ -19,43 +19,35 @@
 /// The sockets of an ended process are closed after this time.
 const SOCKET_CLOSE_TIME: Duration = Duration::from_millis(1);
 
-/// Applies an event. The start of a limiter is the harness's own.
+/// Applies an event. The harness records its description and starts limiters.
 pub(crate) async fn apply(context: &Rc<Context>, event: ScenarioEvent) {
-    let host_name = |host: HostIndex| context.scenario.processes.host(host);
     match event {
         ScenarioEvent::Request(request) => start_client(context, request),
         ScenarioEvent::DrainHost(host) => {
-            context.remark(format!("{} begins to drain", host_name(host)));
             context.hosts.borrow_mut()[host.0].model.draining = true;
             announce_change(context, host);
         }
         ScenarioEvent::KillHost(host) => {
-            context.remark(format!("{}'s process dies", host_name(host)));
             context.end_host(host, HostStatus::Dead);
             announce_change(context, host);
         }
         ScenarioEvent::IsolateHost(host) => {
-            context.remark(format!("{}'s machine vanishes", host_name(host)));
             context.end_host(host, HostStatus::Unreachable);
         }
         ScenarioEvent::StartHost(host) => start_host(context, host),
         ScenarioEvent::ReplaceHost { old, new } => replace_host(context, old, new).await,
         ScenarioEvent::SetHostSpeed { host, speed } => {
-            context.remark(format!(
-                "{} goes at {speed} of the yardstick",
-                host_name(host)
-            ));
             context.hosts.borrow_mut()[host.0].model.speed = speed.max(MIN_HOST_SPEED);
         }
         ScenarioEvent::SetCounterMode(mode) => {
-            context.remark(format!("the counter is now {mode:?}").to_lowercase());
             context.counter.borrow_mut().model.mode = mode;
         }
         ScenarioEvent::ClearCounter => {
-            context.remark("the counter comes back empty".to_owned());
             context.counter.borrow_mut().model.clear();
         }
-        ScenarioEvent::SetDiscovery(answering) => set_discovery_answering(context, answering),
+        ScenarioEvent::SetDiscovery(answering) => {
+            context.discovery.borrow_mut().set_answering(answering);
+        }
         ScenarioEvent::KillLimiter(limiter) => kill_limiter(context, limiter).await,
         ScenarioEvent::StartLimiter(_) => {}
     }
@@ -83,12 +75,6 @@
 }
 
 async fn replace_host(context: &Rc<Context>, old: HostIndex, new: HostIndex) {
-    let processes = &context.scenario.processes;
-    context.remark(format!(
-        "{} is replaced by {} at its address",
-        processes.host(old),
-        processes.host(new)
-    ));
     context.end_host(old, HostStatus::Dead);
     {
         let mut hosts = context.hosts.borrow_mut();
@@ -100,16 +86,6 @@
     start_host(context, new);
 }
 
-fn set_discovery_answering(context: &Context, answering: bool) {
-    let change = if answering {
-        "tells again"
-    } else {
-        "falls silent"
-    };
-    context.remark(format!("discovery {change}"));
-    context.discovery.borrow_mut().set_answering(answering);
-}
-
 async fn kill_limiter(context: &Context, limiter: LimiterIndex) {
     context.record(Fact::LimiterDied { limiter });
     let running = context.limiters.borrow_mut()[limiter.as_usize()]
--- a/crates/fakes/src/harness.rs
+++ b/crates/fakes/src/harness.rs
@@ -231,9 +231,10 @@
     }
 
     async fn apply(&self, event: ScenarioEvent) -> io::Result<()> {
+        if let Some(description) = event.describe(&self.context.scenario.processes) {
+            self.context.remark(description);
+        }
         if let ScenarioEvent::StartLimiter(limiter) = event {
-            let name = self.context.scenario.processes.limiter(limiter);
-            self.context.remark(format!("{name} starts again"));
             self.record_known_hosts(limiter);
             return self.start_limiter(limiter).await;
         }
--- a/crates/simulation/src/scenario.rs
+++ b/crates/simulation/src/scenario.rs
@@ -1,5 +1,7 @@
 //! A scenario as plain data: processes, settings, and events with their times.
 
+mod description;
+
 use crate::oracle::ChoicePoint;
 use quartzcleat_decision::api::{ClassIndex, HostState, LimiterIndex, Nanos, PlanIndex, Settings};
 use quartzcleat_invariants::{HostIndex, PartnerIndex, Processes};
--- a/crates/simulation/src/simulation/clients.rs
+++ b/crates/simulation/src/simulation/clients.rs
@@ -85,7 +85,7 @@
         }
         if !self.limiters[request.limiter.as_usize()].is_up {
             let limiter = self.scenario.processes.limiter(request.limiter);
-            self.record(Fact::Note(format!("{limiter} takes no connection")));
+            self.record(Fact::Note(format!("{limiter} accepts no connection")));
             return Ok(());
         }
         let id = self.clients.start_request(&request);
--- a/crates/simulation/src/simulation/environment.rs
+++ b/crates/simulation/src/simulation/environment.rs
@@ -4,7 +4,7 @@
 use crate::host::{AttemptKey, HostStatus, MIN_SPEED};
 use crate::scenario::ScenarioEvent;
 use quartzcleat_decision::api::{LimiterIndex, Outcome};
-use quartzcleat_invariants::{Fact, HostIndex, Processes};
+use quartzcleat_invariants::{Fact, HostIndex};
 
 impl Simulation<'_> {
     pub(super) fn apply_scenario_event(&mut self, event: ScenarioEvent) -> Result<(), Stopped> {
@@ -84,36 +84,3 @@
         self.clients.disconnect_from(limiter);
     }
 }
-
-impl ScenarioEvent {
-    /// The event in words; `None` where another fact of the run records it.
-    fn describe(&self, processes: &Processes) -> Option<String> {
-        let host = |index: HostIndex| processes.host(index);
-        let text = match self {
-            ScenarioEvent::Request(_)
-            | ScenarioEvent::StartHost(_)
-            | ScenarioEvent::KillLimiter(_) => return None,
-            ScenarioEvent::DrainHost(index) => format!("{} begins to drain", host(*index)),
-            ScenarioEvent::KillHost(index) => format!("{}'s process dies", host(*index)),
-            ScenarioEvent::IsolateHost(index) => format!("{}'s machine vanishes", host(*index)),
-            ScenarioEvent::ReplaceHost { old, new } => format!(
-                "{} is replaced by {} at its address",
-                host(*old),
-                host(*new)
-            ),
-            ScenarioEvent::SetHostSpeed { host: index, speed } => {
-                format!("{} goes at {speed} of the yardstick", host(*index))
-            }
-            ScenarioEvent::SetCounterMode(mode) => {
-                format!("the counter is now {mode:?}").to_lowercase()
-            }
-            ScenarioEvent::ClearCounter => "the counter comes back empty".to_owned(),
-            ScenarioEvent::SetDiscovery(true) => "discovery tells again".to_owned(),
-            ScenarioEvent::SetDiscovery(false) => "discovery falls silent".to_owned(),
-            ScenarioEvent::StartLimiter(limiter) => {
-                format!("{} starts again", processes.limiter(*limiter))
-            }
-        };
-        Some(text)
-    }
-}
