--- a/crates/invariants/src/checker.rs
+++ b/crates/invariants/src/checker.rs
@@ -162,7 +162,10 @@
             Fact::ClientLeft { request } => self.request(*request).is_released = true,
             Fact::LimiterDied { limiter } => self.release_requests_of(*limiter),
             Fact::HostOverloaded { host } => {
-                let description = format!("{} fell over", self.processes.host(*host));
+                let description = format!(
+                    "{} was overloaded while warming up",
+                    self.processes.host(*host)
+                );
                 self.report(Invariant::SlowStart, at, None, description);
             }
             Fact::HostStarted { .. } | Fact::UnitsSettled { .. } | Fact::Note(_) => {}
@@ -223,7 +226,7 @@
                 Invariant::AttemptCap,
                 sent.at,
                 Some(request),
-                "sent while an earlier attempt is out",
+                "sent while an earlier attempt is in flight",
             );
         }
         let max_attempts = self.limits.max_attempts;
@@ -251,7 +254,8 @@
         }
         let delay = (sent.at - known.since) as f64 / NANOS_PER_MILLISECOND;
         let host = self.processes.host(sent.host);
-        let description = format!("sent to {host} {delay:.0} ms after its drain was told");
+        let description =
+            format!("sent to {host} {delay:.0} ms after the limiter was notified of its drain");
         self.report(Invariant::Drains, sent.at, Some(request), description);
     }
 
@@ -266,14 +270,14 @@
         let class = self.limits.class(class);
         let window_end = first.at + class.dedup_window + self.limits.time_tolerance;
         let description = match class.effect {
-            Effect::Unsafe => "sent again, though it may have run and must not run twice",
+            Effect::Unsafe => "retried, though it may have been executed and is unsafe to repeat",
             Effect::IdempotentWithKey
                 if !self.shares_keys(class.dedup_scope, first.host, sent.host) =>
             {
-                "sent again outside the group whose nodes drop its repeats"
+                "retried outside the deduplication scope of its key"
             }
             Effect::IdempotentWithKey if sent.at >= window_end => {
-                "sent again after its key's window"
+                "retried after the deduplication window of its key"
             }
             Effect::Idempotent | Effect::IdempotentWithKey => return,
         };
@@ -310,12 +314,12 @@
             self.report(Invariant::OneAnswer, at, Some(request), description);
         }
         if answer == Answer::Served && !is_executed {
-            let description = "served, though no node made a value";
+            let description = "served, though no node executed it";
             self.report(Invariant::Values, at, Some(request), description);
         }
         let is_rejection = matches!(answer, Answer::Rejected(_));
         if is_rejection && may_have_executed && is_retry_harmful(self.limits.class(class)) {
-            let description = "refused as harmless to try again, though it may have run";
+            let description = "rejected as safe to retry, though it may have been executed";
             self.report(Invariant::SafeRepeats, at, Some(request), description);
         }
     }
@@ -329,18 +333,13 @@
             .map(|(request, _)| *request)
             .collect();
         for request in unanswered {
-            self.report(
-                Invariant::OneAnswer,
-                end,
-                Some(request),
-                "it was never answered",
-            );
+            self.report(Invariant::OneAnswer, end, Some(request), "never answered");
         }
     }
 }
 
 /// Whether a client's retry may do harm after the request may have been executed. A rejection invites a retry with
-/// the same key, which may come to a host outside the group that recognises it.
+/// the same key, which may reach a host outside the deduplication scope of the key.
 fn is_retry_harmful(class: ClassLimits) -> bool {
     match class.effect {
         Effect::Idempotent => false,
--- a/crates/simulation/src/oracle.rs
+++ b/crates/simulation/src/oracle.rs
@@ -1,6 +1,6 @@
 //! An oracle chooses where a scenario leaves something open.
 
-/// What is chosen.
+/// A point of a scenario that a choice decides.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum ChoicePoint {
     /// The seed of the limiters.
