--- a/crates/bench/src/damage/table.rs
+++ b/crates/bench/src/damage/table.rs
@@ -18,7 +18,7 @@
     pub key: &'static str,
     /// Its value then.
     pub value: DamagedValue,
-    /// What an operator would mean by it.
+    /// The mistake of an operator that it stands for.
     pub description: &'static str,
 }
 
--- a/crates/bench/src/deployments/generate/incident.rs
+++ b/crates/bench/src/deployments/generate/incident.rs
@@ -17,7 +17,7 @@
 const LIMITER_INTERVAL: Nanos = 700 * NANOS_PER_MS;
 const LIMITER_RESTART_TIME: Nanos = 500 * NANOS_PER_MS;
 
-/// What goes wrong in a deployment.
+/// An incident in a deployment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Incident {
     /// Nothing.
@@ -95,7 +95,7 @@
 
 /// An incident and its time.
 pub(super) struct ScheduledIncident {
-    /// What goes wrong.
+    /// The incident.
     pub incident: Incident,
     begin: Nanos,
     end: Nanos,
--- a/crates/bench/src/deployments/generate/mod.rs
+++ b/crates/bench/src/deployments/generate/mod.rs
@@ -36,7 +36,7 @@
     pub scenario: Scenario,
     /// Sizes and the incident, for the report.
     pub description: String,
-    /// What goes wrong.
+    /// The incident of the run.
     pub incident: Incident,
 }
 
--- a/crates/bench/src/deployments/judge.rs
+++ b/crates/bench/src/deployments/judge.rs
@@ -30,9 +30,9 @@
 /// Values of a deployment's requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct Value {
-    /// Served, less what use beyond quotas costs.
+    /// The served value, less the value lost to use beyond quotas.
     pub served: f64,
-    /// What use beyond quotas costs.
+    /// The value lost to use beyond quotas.
     pub beyond_quotas: f64,
     /// Operations requested within their quotas and rejected without an attempt.
     pub rejected_within_quotas: f64,
--- a/crates/bench/src/module/damages.rs
+++ b/crates/bench/src/module/damages.rs
@@ -8,7 +8,7 @@
     pub(super) original: &'static str,
     /// Text that replaces it.
     pub(super) damaged: &'static str,
-    /// What the damaged crate does wrong.
+    /// The fault of the damaged crate.
     pub(super) description: &'static str,
 }
 
--- a/crates/bench/src/trial/plot.rs
+++ b/crates/bench/src/trial/plot.rs
@@ -37,7 +37,7 @@
 /// The time during which a fault lasted at a limiter, in seconds.
 struct FaultSpan {
     limiter: LimiterIndex,
-    /// What began the span: a fault, or a start that failed.
+    /// The event that began the span: a fault, or a start that failed.
     event: MarkEvent,
     from: f64,
     to: f64,
--- a/crates/bench/src/trial/series.rs
+++ b/crates/bench/src/trial/series.rs
@@ -20,7 +20,7 @@
     pub testbed: &'a MakeTestbed,
 }
 
-/// What the workers have collected.
+/// The results that the workers have collected.
 struct Collected {
     stored: StoredRows,
     errors: Vec<BenchError>,
--- a/crates/fakes/src/context.rs
+++ b/crates/fakes/src/context.rs
@@ -1,4 +1,4 @@
-//! What the tasks of a run share: the scenario, the clock, the records and the state of each fake. All tasks run on one
+//! State that the tasks of a run share: the scenario, the clock, the records and the state of each fake. All tasks run on one
 //! thread; no borrow is held across an `await`.
 
 use crate::limiter::Limiter;
@@ -15,7 +15,7 @@
 use std::time::{Duration, SystemTime};
 use tokio::time::Instant;
 
-/// What the harness knows of a request.
+/// The state of a request.
 #[derive(Clone, Debug)]
 pub(crate) struct RequestState {
     pub(crate) class: ClassIndex,
--- a/crates/fakes/src/harness.rs
+++ b/crates/fakes/src/harness.rs
@@ -30,7 +30,7 @@
 /// How long a run goes on after the last answer, so that a surplus attempt or answer is observed.
 const OBSERVATION_TIME: Duration = Duration::from_millis(60);
 
-/// What a run recorded and what its limiters used.
+/// The records of a run and the resources that its limiters used.
 #[derive(Clone, Debug, Default)]
 pub struct RunReport {
     /// The recorded events.
--- a/crates/fakes/src/load.rs
+++ b/crates/fakes/src/load.rs
@@ -27,7 +27,7 @@
     pub hosts: usize,
     /// Customers.
     pub customers: usize,
-    /// What a request of any class takes on a host.
+    /// The execution time of a request of any class.
     pub work: Nanos,
 }
 
--- a/crates/fakes/src/process.rs
+++ b/crates/fakes/src/process.rs
@@ -34,7 +34,7 @@
 }
 
 impl Usage {
-    /// What a process has used so far, from procfs; zero where it does not run.
+    /// The resources that a process has used so far, from procfs; zero where it does not run.
     fn of_process(id: u32) -> Usage {
         let read =
             |name: &str| std::fs::read_to_string(format!("/proc/{id}/{name}")).unwrap_or_default();
@@ -179,7 +179,7 @@
         }
     }
 
-    /// What the process has used so far; zero where it does not run.
+    /// The resources that the process has used so far; zero where it does not run.
     #[must_use]
     pub fn usage(&self) -> Usage {
         let id = self.running.as_ref().and_then(|running| running.0.id());
--- a/crates/fakes/src/server/discovery.rs
+++ b/crates/fakes/src/server/discovery.rs
@@ -18,7 +18,7 @@
 /// The longest wait of a watch.
 const MAX_WAIT_MS: u64 = 60_000;
 
-/// What a call is answered with.
+/// The answer to a call.
 struct Answer {
     generation: u64,
     kind: ListKind,
--- a/crates/fault-injection/src/scenario/mod.rs
+++ b/crates/fault-injection/src/scenario/mod.rs
@@ -34,7 +34,7 @@
     }
 }
 
-/// What happens to a limiter or to its links.
+/// A fault of a limiter or of its links.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultKind {
     /// SIGSTOP, then SIGCONT.
@@ -98,7 +98,7 @@
     pub at: Duration,
     /// The limiters that it strikes.
     pub target: FaultTarget,
-    /// What happens to them.
+    /// The kind of the fault.
     pub kind: FaultKind,
     /// How long it lasts.
     pub duration: Duration,
--- a/crates/fault-injection/src/testbed.rs
+++ b/crates/fault-injection/src/testbed.rs
@@ -1,4 +1,4 @@
-//! What a scenario runs on, and the report of a run.
+//! The environment in which a scenario runs, and the report of a run.
 
 use crate::link::LinkTraffic;
 use crate::target::Action;
@@ -6,7 +6,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// What a scenario runs on.
+/// The environment in which a scenario runs.
 #[derive(Clone, Debug)]
 pub struct Testbed {
     /// The program.
--- a/crates/fault-injection/src/verdict.rs
+++ b/crates/fault-injection/src/verdict.rs
@@ -41,7 +41,7 @@
     pub at: Duration,
     /// The limiter.
     pub limiter: LimiterIndex,
-    /// What happened.
+    /// The event.
     pub event: MarkEvent,
 }
 
--- a/crates/invariants/src/invariant.rs
+++ b/crates/invariants/src/invariant.rs
@@ -45,14 +45,14 @@
     pub at: Nanos,
     /// The request, where one is concerned.
     pub request: Option<RequestId>,
-    /// What happened, for people.
+    /// The description of the violation for people.
     pub description: String,
 }
 
 /// How requests of a class may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClassLimits {
-    /// What a second execution would do.
+    /// Whether a second execution is harmless.
     pub effect: Effect,
     /// The hosts that recognise each other's idempotency keys.
     pub dedup_scope: DedupScope,
@@ -79,7 +79,7 @@
     }
 }
 
-/// What the invariants are measured by. These limits are the platform's, not those of the settings under test: a
+/// The limits of the invariants. They are the platform's, not those of the settings under test: a
 /// configuration that grants too much must not loosen the invariant that it violates.
 #[derive(Clone, Debug, PartialEq)]
 pub struct InvariantLimits {
--- a/crates/invariants/src/lib.rs
+++ b/crates/invariants/src/lib.rs
@@ -1,4 +1,4 @@
-//! What a run of limiters did, as records, and the invariants that every run keeps.
+//! The records of a run of limiters, and the invariants that hold for every run.
 //!
 //! A record is a fact with its time, as an observer outside the limiters sees it: [`record`]. [`checker`] walks over
 //! the records of a run and names each violated [`invariant`]; [`timeline`] renders them for people. The crate knows
--- a/crates/simulation/src/host.rs
+++ b/crates/simulation/src/host.rs
@@ -14,7 +14,7 @@
 /// The lowest effective speed of a core, so that every job ends.
 pub(crate) const MIN_SPEED: f64 = 1e-3;
 
-/// What identifies an attempt to a host.
+/// The identity of an attempt at a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct AttemptKey {
     /// The limiter that sent it.
@@ -36,7 +36,7 @@
     Unreachable,
 }
 
-/// What happens to an attempt when it reaches a host.
+/// The result of the arrival of an attempt at a host.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Arrival {
     /// Its execution starts.
--- a/crates/simulation/src/host/tests.rs
+++ b/crates/simulation/src/host/tests.rs
@@ -35,7 +35,7 @@
     Host::new(&setup, MILLISECOND)
 }
 
-/// What happens to so many attempts that arrive at once.
+/// The results of a number of attempts that arrive at once.
 fn arrivals(host: &mut Host, attempts: u64, now: Nanos) -> Vec<Arrival> {
     (0..attempts)
         .map(|number| host.receive(attempt(number), 100 * MILLISECOND, &settings(), now))
--- a/crates/simulation/src/scenario.rs
+++ b/crates/simulation/src/scenario.rs
@@ -6,10 +6,10 @@
 use quartzcleat_decision::api::{ClassIndex, HostState, LimiterIndex, Nanos, PlanIndex, Settings};
 use quartzcleat_invariants::{HostIndex, PartnerIndex, Processes};
 
-/// What becomes of an attempt.
+/// A possible outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum AttemptOutcome {
-    /// What its host does at that moment.
+    /// The outcome that follows from its host's state.
     Normal,
     /// The host answers with an error after executing it.
     Error,
@@ -29,10 +29,10 @@
     Late,
 }
 
-/// What becomes of a call to the counter.
+/// A possible outcome of a call to the counter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum CounterCallOutcome {
-    /// What the counter does at that moment.
+    /// The outcome that follows from the counter's mode.
     Normal,
     /// It is lost on its way to the counter.
     RequestLost,
@@ -42,7 +42,7 @@
     Rejected,
 }
 
-/// What the counter does with calls. The names of the modes appear in reports.
+/// The behaviour of the counter towards calls. The names of the modes appear in reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum CounterMode {
     /// It answers.
@@ -181,7 +181,7 @@
     pub retry: bool,
 }
 
-/// What happens in a step.
+/// An event that a scenario applies to a process.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ScenarioEvent {
     /// A client sends a request.
@@ -225,7 +225,7 @@
 pub struct Step {
     /// The possible moments, after the start of the run; one entry leaves nothing open.
     pub moments: Vec<Nanos>,
-    /// What happens.
+    /// The event of the step.
     pub event: ScenarioEvent,
     /// Steps of one group exchange their moments in every order.
     pub reorder_group: Option<u32>,
@@ -270,7 +270,7 @@
     pub work: Vec<Nanos>,
     /// Variation of work and delays: the standard deviation of their logarithm; 0 for none.
     pub log_deviation: f64,
-    /// What happens.
+    /// The events with their possible times.
     pub steps: Vec<Step>,
     /// How clients retry by themselves; `None` where they do not.
     pub retry: Option<RetryPolicy>,
--- a/crates/simulation/src/simulation/clients.rs
+++ b/crates/simulation/src/simulation/clients.rs
@@ -23,7 +23,7 @@
     is_open: bool,
 }
 
-/// What the clients know.
+/// The state of the clients.
 #[derive(Debug, Default)]
 pub(super) struct Clients {
     operations: BTreeMap<u64, Operation>,
--- a/crates/simulation/src/simulation/discovery.rs
+++ b/crates/simulation/src/simulation/discovery.rs
@@ -7,7 +7,7 @@
 use quartzcleat_decision::api::{self, HostEntry, HostId, HostState, LimiterIndex, ListMode};
 use quartzcleat_invariants::{Fact, HostIndex};
 
-/// What discovery holds.
+/// The state of discovery.
 #[derive(Debug)]
 pub(super) struct Discovery {
     /// The hosts that are not gone.
--- a/crates/simulation/src/simulation/limiters.rs
+++ b/crates/simulation/src/simulation/limiters.rs
@@ -142,7 +142,7 @@
         self.limiters[request.limiter.as_usize()]
             .open_requests
             .insert(id, open);
-        let due = Event::AnswerDue {
+        let answer_due = Event::AnswerDue {
             limiter: self.incarnation(request.limiter),
             request: id,
         };
@@ -150,7 +150,7 @@
             request
                 .timeout
                 .saturating_sub(super::clients::ANSWER_MARGIN),
-            due,
+            answer_due,
         );
         let event = api::Event::Request {
             id,
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -1,4 +1,4 @@
-//! What integration tests of several targets share. Only tests use it.
+//! Helpers that integration tests of several targets share. Only tests use them.
 //!
 //! For the decision engine: [`engine`] drives one by hand, [`settings`] are the small settings that such tests start from,
 //! and [`actions`] finds actions of an engine.
--- a/crates/test-support/src/limiter.rs
+++ b/crates/test-support/src/limiter.rs
@@ -22,7 +22,7 @@
 /// Changes the text of a configuration.
 type ConfigChange = Box<dyn Fn(&str) -> String>;
 
-/// What a limiter is started with.
+/// The setup of a limiter.
 pub struct LimiterSetup {
     program: PathBuf,
     number: u8,
@@ -192,7 +192,7 @@
     Ok(())
 }
 
-/// What a process of a limiter is started with.
+/// The settings with which a limiter's process is started.
 struct ProcessSettings<'a> {
     config_path: &'a Path,
     listen: SocketAddr,
--- a/tests/codec.rs
+++ b/tests/codec.rs
@@ -90,9 +90,9 @@
         (Timer::WatchHosts, "watch"),
         (Timer::Sweep, "sweep"),
     ] {
-        let mut out = String::new();
-        quartzcleat::simulator::encode(&Action::SetTimer { timer, after: 7 }, &mut out);
-        assert_eq!(out, format!("WAKE_ME\t{tag}\t7\n"));
+        let mut encoded = String::new();
+        quartzcleat::simulator::encode(&Action::SetTimer { timer, after: 7 }, &mut encoded);
+        assert_eq!(encoded, format!("WAKE_ME\t{tag}\t7\n"));
         let read = Decoder::new().decode(&format!("ELAPSED\t{tag}"));
         assert_eq!(read, Ok(Some(Line::Event(Event::Timer { timer }))));
     }
@@ -101,7 +101,7 @@
 #[test]
 fn actions_are_written_as_the_wire_has_them() {
     use quartzcleat::api::{Action, AttemptIndex, HostId, LogEvent, Peers, RequestId};
-    let mut out = String::new();
+    let mut encoded = String::new();
     let (id, host) = (RequestId(0x2185_16d3_5d3a_91c4), HostId(51_530_247));
     for action in [
         Action::Attempt {
@@ -136,7 +136,7 @@
             },
         },
     ] {
-        quartzcleat::simulator::encode(&action, &mut out);
+        quartzcleat::simulator::encode(&action, &mut encoded);
     }
     let lines = [
         "ISSUE\t218516d35d3a91c4\t51530247\t80000000",
@@ -147,5 +147,5 @@
         "RECORD\tcounter answers again",
         "RECORD\thost 51530247 failing: 3 failures in a row",
     ];
-    assert_eq!(out.lines().collect::<Vec<_>>(), lines);
+    assert_eq!(encoded.lines().collect::<Vec<_>>(), lines);
 }
--- a/tests/golden/expectations.rs
+++ b/tests/golden/expectations.rs
@@ -3,9 +3,9 @@
 use crate::{assert_golden, LIMITER};
 use std::process::Command;
 
-/// The report with the one thing that differs between runs, the seconds that a check took, taken out.
+/// The report with a fixed text in place of the duration of each check, which differs between runs.
 fn without_durations(report: &str) -> String {
-    let mut kept = String::new();
+    let mut normalized = String::new();
     for line in report.lines() {
         let json = line.trim_start().starts_with("\"seconds\":");
         let text = match (json, line.split_once(" time=\"")) {
@@ -19,9 +19,9 @@
             }
             (false, None) => line.to_owned(),
         };
-        kept += &(text + "\n");
+        normalized += &(text + "\n");
     }
-    kept
+    normalized
 }
 
 #[test]
--- a/tests/golden/services.rs
+++ b/tests/golden/services.rs
@@ -1,6 +1,6 @@
 //! The bytes that a limiter sends to hosts, the counter and discovery.
 //!
-//! What depends on the clock stands as a name in angle brackets: the remaining wait of a request, the index of a
+//! A value that depends on the clock is written as a name in angle brackets: the remaining wait of a request, the index of a
 //! counter's window, and the time for which the counter keeps it. Lengths in front of them are those of the name.
 
 use crate::quota_window::{
--- a/tests/golden/start_errors.rs
+++ b/tests/golden/start_errors.rs
@@ -1,4 +1,4 @@
-//! What the limiter writes to standard error, and its exit code, where it cannot start.
+//! Standard error and exit code of a limiter that cannot start.
 
 use crate::{assert_golden, LIMITER};
 use quartzcleat_fakes::process::limiter_command;
--- a/tests/limiter.rs
+++ b/tests/limiter.rs
@@ -249,7 +249,7 @@
     assert_eq!(used.read(&mut [0]).expect("an end"), 0);
 }
 
-/// What two clients get of a limiter that ends.
+/// The answers that two clients get from a limiter that shuts down.
 struct LastAnswers {
     to_pending_request: String,
     to_later_request: String,
--- a/tests/operations/draining.rs
+++ b/tests/operations/draining.rs
@@ -10,35 +10,42 @@
 /// A limiter that is draining, and a connection from before.
 struct DrainingLimiter {
     limiter: Limiter,
-    kept: TcpStream,
+    earlier_connection: TcpStream,
     ordered_at: Instant,
 }
 
 impl DrainingLimiter {
     fn start(number: u8) -> Self {
         let limiter = limiter_setup(number).start();
-        let mut kept = limiter.connect();
-        let answer = send(&mut kept, &request("Q.ASK", 1, CHECK_FACTS, ""), 1);
+        let mut earlier_connection = limiter.connect();
+        let answer = send(
+            &mut earlier_connection,
+            &request("Q.ASK", 1, CHECK_FACTS, ""),
+            1,
+        );
         assert_eq!(answer, served(1));
         let ordered_at = Instant::now();
         assert_eq!(limiter.call_admin("PUT", "/drain", ""), 200);
         DrainingLimiter {
             limiter,
-            kept,
+            earlier_connection,
             ordered_at,
         }
     }
 
     /// Waits until connections close between requests.
     fn wait_until_connections_close(&mut self) {
-        assert_eq!(self.kept.read(&mut [0]).expect("an end"), 0);
+        assert_eq!(self.earlier_connection.read(&mut [0]).expect("an end"), 0);
     }
 }
 
 #[test]
 fn draining_is_announced_to_pings_and_to_the_admin_interface_at_once() {
     let mut draining = DrainingLimiter::start(22);
-    assert_eq!(send(&mut draining.kept, PING, 1), "-ERR draining\r\n");
+    assert_eq!(
+        send(&mut draining.earlier_connection, PING, 1),
+        "-ERR draining\r\n"
+    );
     assert_eq!(draining.limiter.call_admin("GET", "/ready", ""), 503);
 }
 
--- a/tests/operations/hot_restart.rs
+++ b/tests/operations/hot_restart.rs
@@ -16,14 +16,14 @@
 /// Whether a client uses a connection again.
 #[derive(Clone, Copy, PartialEq)]
 enum Connections {
-    Kept,
+    KeepAlive,
     NewForEachRequest,
 }
 
 /// The requests of one client.
 struct ClientReport {
     requests: u64,
-    /// Requests on kept connections that the limiter had closed.
+    /// Requests on keep-alive connections that the limiter had closed.
     cut_off: u64,
 }
 
@@ -37,11 +37,11 @@
     let facts = CHECK_FACTS.replace("units=1", "units=0.001");
     let first_id = number << 32;
     let mut id = first_id;
-    let mut kept: Option<TcpStream> = None;
+    let mut idle_connection: Option<TcpStream> = None;
     let mut cut_off = 0;
     while !is_over.load(Ordering::Relaxed) {
         id += 1;
-        let mut stream = kept
+        let mut stream = idle_connection
             .take()
             .filter(is_open)
             .unwrap_or_else(|| TcpStream::connect(address).expect("a process listens"));
@@ -52,12 +52,12 @@
         match stream.read_exact(&mut answer) {
             Ok(()) => {
                 assert_eq!(String::from_utf8_lossy(&answer), served(id));
-                kept = (connections == Connections::Kept).then_some(stream);
+                idle_connection = (connections == Connections::KeepAlive).then_some(stream);
             }
-            // A kept connection may end as the request is on its way; a fresh one may not.
+            // A keep-alive connection may end as the request is on its way; a fresh one may not.
             Err(error) => {
                 assert!(
-                    connections == Connections::Kept,
+                    connections == Connections::KeepAlive,
                     "a new connection ends without an answer: {error}"
                 );
                 cut_off += 1;
@@ -71,7 +71,7 @@
     }
 }
 
-/// Twenty new versions one after another, under load on new and on kept connections: no request is rejected, cut off or
+/// Twenty new versions one after another, under load on new and on keep-alive connections: no request is rejected, cut off or
 /// failed.
 #[test]
 fn new_versions_take_over_without_a_request_lost() {
@@ -83,7 +83,7 @@
         let clients: Vec<_> = (1..=4)
             .map(|number| {
                 let connections = if number > 2 {
-                    Connections::Kept
+                    Connections::KeepAlive
                 } else {
                     Connections::NewForEachRequest
                 };
--- a/tests/operations/main.rs
+++ b/tests/operations/main.rs
@@ -1,4 +1,4 @@
-//! What on-call staff order of a running limiter: maintenance, draining, a new version; and long values.
+//! Operator commands on a running limiter: maintenance, draining, a new version; and long values.
 
 mod admin;
 mod draining;
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -36,7 +36,7 @@
 }
 
 struct PendingTimer {
-    due: Nanos,
+    due_at: Nanos,
     timer: Timer,
 }
 
@@ -91,7 +91,7 @@
                 }
                 Action::Count { name, .. } => self.calls.push(name),
                 Action::SetTimer { timer, after } => self.timers.push(PendingTimer {
-                    due: now + after,
+                    due_at: now + after,
                     timer,
                 }),
                 _ => {}
@@ -246,7 +246,7 @@
 fn run_timers(harness: &mut EngineHarness, run: &mut Run) {
     let now = harness.now;
     let timers = std::mem::take(&mut run.timers);
-    let (due, later): (Vec<_>, Vec<_>) = timers.into_iter().partition(|timer| timer.due <= now);
+    let (due, later): (Vec<_>, Vec<_>) = timers.into_iter().partition(|timer| timer.due_at <= now);
     run.timers = later;
     for pending in due {
         let actions = harness.fire(pending.timer);
--- a/tests/rules/load_shedding.rs
+++ b/tests/rules/load_shedding.rs
@@ -79,7 +79,7 @@
 
 /// An attempt in flight, and whether its answer is lost.
 struct PendingAnswer {
-    due: Nanos,
+    due_at: Nanos,
     sent: OrderedAttempt,
     is_lost: bool,
 }
@@ -94,7 +94,7 @@
         let now = harness.now;
         let (due, later): (Vec<_>, Vec<_>) = pending
             .into_iter()
-            .partition(|answer: &PendingAnswer| answer.due <= now);
+            .partition(|answer: &PendingAnswer| answer.due_at <= now);
         pending = later;
         for answer in due {
             end_pending(&mut harness, &answer, latency);
@@ -105,7 +105,7 @@
             let is_lost = customer % 5 <= 1;
             let elapsed = if is_lost { LATENCY_OBJECTIVE } else { latency };
             pending.push(PendingAnswer {
-                due: now + elapsed,
+                due_at: now + elapsed,
                 sent,
                 is_lost,
             });
--- a/tests/rules/slow_start.rs
+++ b/tests/rules/slow_start.rs
@@ -236,7 +236,7 @@
     }
 }
 
-/// What all limiters together send to a host in slow start while it may be overloaded is within its budget, however many
+/// The load that all limiters together send to a host in slow start while it may be overloaded is within its budget, however many
 /// they are.
 #[test]
 fn all_limiters_together_keep_slow_start_budget() {
--- a/tests/side_by_side.rs
+++ b/tests/side_by_side.rs
@@ -46,7 +46,7 @@
     }
 }
 
-/// What all clients got.
+/// The answers that all clients got.
 #[derive(Default)]
 struct Answers {
     all: AtomicU64,
