--- a/crates/bench/src/pair.rs
+++ b/crates/bench/src/pair.rs
@@ -28,7 +28,7 @@
 
 /// CPU a request, memory and start of two builds of the limiter, in pairs.
 #[derive(Debug, Args)]
-pub struct Pair {
+pub(crate) struct Pair {
     /// One build's program.
     a: PathBuf,
     /// The other's.
@@ -84,7 +84,7 @@
     ///
     /// # Errors
     /// Fails where files, loopback or the programs do.
-    pub fn run(self) -> Result<String, BenchError> {
+    pub(crate) fn run(self) -> Result<String, BenchError> {
         let day = Deployment::read(
             "imlil-main.yaml",
             include_str!("../../../deploy/imlil-main.yaml"),
@@ -197,12 +197,13 @@
         let b = Spread::of(pairs.iter().map(|pair| value(&pair.b)).collect());
         let ratio = |pair: &PairFigures| value(&pair.b) / value(&pair.a);
         let ratio = Spread::of(pairs.iter().map(ratio).collect());
-        text += &format!(
+        let row = format!(
             "{name:22} {:>30} {:>30} {:>24}\n",
             a.to_string(),
             b.to_string(),
             ratio.to_string()
         );
+        text += &row;
     }
     text
 }
--- a/crates/fakes/src/harness.rs
+++ b/crates/fakes/src/harness.rs
@@ -30,7 +30,7 @@
 /// How long a run goes on after the last answer, so that a surplus attempt or answer is observed.
 const OBSERVATION_TIME: Duration = Duration::from_millis(60);
 
-/// What a run recorded and what its limiters used.
+/// The records of a run and the resources that its limiters used.
 #[derive(Clone, Debug, Default)]
 pub struct RunReport {
     /// The recorded events.
@@ -231,9 +231,10 @@
     }
 
     async fn apply(&self, event: ScenarioEvent) -> io::Result<()> {
+        if let Some(description) = event.describe(&self.context.scenario.processes) {
+            self.context.remark(description);
+        }
         if let ScenarioEvent::StartLimiter(limiter) = event {
-            let name = self.context.scenario.processes.limiter(limiter);
-            self.context.remark(format!("{name} starts again"));
             self.record_known_hosts(limiter);
             return self.start_limiter(limiter).await;
         }
