--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -50,10 +50,6 @@
 
 /// The format of a report.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, ValueEnum)]
-#[expect(
-    clippy::doc_markdown,
-    reason = "the comments are the text of --help, where backticks would be shown"
-)]
 pub enum Format {
     /// Text for people.
     #[default]
--- a/tests/documentation/main.rs
+++ b/tests/documentation/main.rs
@@ -4,6 +4,7 @@
 //! Keys come from the readers themselves, which list the keys of a map when they meet an unknown one. Events and metrics
 //! keys come from the `tracing` macros in the sources.
 
+mod crossings;
 mod keys;
 mod log_events;
 mod on_call;
--- a/tests/documentation/sources.rs
+++ b/tests/documentation/sources.rs
@@ -1,4 +1,4 @@
-//! The sources of the workspace, without those of tests.
+//! The sources of the workspace, with and without those of tests.
 
 use std::path::{Path, PathBuf};
 
@@ -17,6 +17,27 @@
     below(&Path::new(env!("CARGO_MANIFEST_DIR")).join(path))
 }
 
+/// The text of every file that holds tests or code: the sources, the tests beside them and the folders of tests.
+pub(crate) fn with_tests() -> String {
+    let root = Path::new(env!("CARGO_MANIFEST_DIR"));
+    let mut text = String::new();
+    for folder in ["src", "crates", "tests"] {
+        append_sources(&root.join(folder), &mut text);
+    }
+    text
+}
+
+fn append_sources(path: &Path, text: &mut String) {
+    if path.is_dir() {
+        let entries = std::fs::read_dir(path).expect("a folder is read");
+        for entry in entries {
+            append_sources(&entry.expect("an entry is read").path(), text);
+        }
+    } else if path.extension().is_some_and(|extension| extension == "rs") {
+        text.push_str(&std::fs::read_to_string(path).expect("a source is read"));
+    }
+}
+
 fn below(path: &Path) -> Vec<(PathBuf, String)> {
     if path.is_dir() {
         return entries(path)
