--- a/crates/decision/src/lifecycle/arrival.rs
+++ b/crates/decision/src/lifecycle/arrival.rs
@@ -159,7 +159,7 @@
             Verdict::OverLocalShare => retry_after(&request, context),
         };
         self.refund(&request.claim, context);
-        if self.is_worth_an_idle_host(&request, context) {
+        if self.may_use_idle_host_beyond_quota(&request, context) {
             self.admit_uncharged(id, context);
             return;
         }
@@ -168,7 +168,7 @@
     }
 
     /// Whether a request beyond its quota may use an idle host: it earns more than it costs.
-    fn is_worth_an_idle_host(&self, request: &PendingRequest, context: &Context) -> bool {
+    fn may_use_idle_host_beyond_quota(&self, request: &PendingRequest, context: &Context) -> bool {
         let plan = context.plan(request.plan());
         let is_profitable = plan.over_quota_weight > plan.over_quota_cost;
         is_profitable && self.queue.is_empty() && self.hosts.has_idle_host()
