--- a/crates/decision/src/context.rs
+++ b/crates/decision/src/context.rs
@@ -1,9 +1,9 @@
-//! What the handling of one event needs beside the state of the parts.
+//! Inputs and output shared by all modules while one event is handled.
 
 use crate::api::{Action, Actions, Class, ClassIndex, Nanos, Plan, PlanIndex, Settings, Timer};
 
-/// Time, settings, random numbers and output during the handling of one event. The engine makes one for each
-/// event, so that no part keeps a copy of the time or of the settings.
+/// Current time, settings, random generator and action buffer for the handling of one event. The engine
+/// creates one per event, so that no module keeps its own copy of the time or of the settings.
 pub(crate) struct Context<'a> {
     now: Nanos,
     settings: &'a Settings,
@@ -26,37 +26,37 @@
         }
     }
 
-    /// Time of the event.
+    /// Returns the time of the event.
     pub(crate) fn now(&self) -> Nanos {
         self.now
     }
 
-    /// The settings in force.
+    /// Returns the settings in force.
     pub(crate) fn settings(&self) -> &'a Settings {
         self.settings
     }
 
-    /// A class of the settings.
+    /// Returns the settings of a class. Panics if the index is out of range.
     pub(crate) fn class(&self, class: ClassIndex) -> &'a Class {
         &self.settings.classes[class.as_usize()]
     }
 
-    /// A plan of the settings.
+    /// Returns the settings of a plan. Panics if the index is out of range.
     pub(crate) fn plan(&self, plan: PlanIndex) -> &'a Plan {
         &self.settings.plans[plan.as_usize()]
     }
 
-    /// A random number in 0..1.
+    /// Returns a random number in 0..1.
     pub(crate) fn random_fraction(&mut self) -> f64 {
         self.random.f64()
     }
 
-    /// Appends an action.
+    /// Appends an action to the output of the event.
     pub(crate) fn push(&mut self, action: Action) {
         self.actions.push(action);
     }
 
-    /// Sets a timer that is due after a duration.
+    /// Requests a timer that fires `after` nanoseconds from now.
     pub(crate) fn set_timer(&mut self, timer: Timer, after: Nanos) {
         self.push(Action::SetTimer { timer, after });
     }
--- a/crates/decision/src/engine.rs
+++ b/crates/decision/src/engine.rs
@@ -1,4 +1,4 @@
-//! The decision engine: owns the time, the settings and the random generator, and routes events to the parts.
+//! Decision engine: owns the time, the settings and the random generator, and routes events to the modules.
 
 use crate::api::{Action, Actions, Class, Event, Nanos, Plan, Settings, Timer};
 use crate::context::Context;
@@ -9,12 +9,12 @@
 use crate::status::EngineStatus;
 use crate::time::SECOND;
 
-/// Interval between two removals of records that are no longer in use.
+/// Interval between removals of unused records, in nanoseconds.
 const SWEEP_INTERVAL: Nanos = SECOND;
-/// An older snapshot is not used: latency scores of hosts decay in as much time.
+/// Age beyond which a snapshot is ignored, in nanoseconds: latency scores of hosts decay within this time.
 const MAX_SNAPSHOT_AGE: Nanos = 10 * SECOND;
 
-/// Decision engine of one limiter. Instances share nothing.
+/// Decision engine of one limiter. Instances share no state.
 #[derive(Debug)]
 pub struct DecisionEngine {
     settings: Settings,
@@ -25,7 +25,8 @@
 }
 
 impl DecisionEngine {
-    /// An engine at its start. Equal seeds and events lead to equal actions.
+    /// Creates an engine in its initial state. The engine is deterministic: equal settings, seeds and events
+    /// produce equal actions.
     #[must_use]
     pub fn new(settings: Settings, seed: u64, now: Nanos) -> Self {
         let settings = with_fallbacks(settings);
@@ -38,7 +39,8 @@
         }
     }
 
-    /// Advances the clock, which never goes back; the first call also starts the periodic work.
+    /// Advances the clock to `now`, or leaves it if `now` is earlier. The first call also starts the periodic
+    /// work.
     pub fn advance(&mut self, now: Nanos, actions: &mut Actions) {
         self.now = self.now.max(now);
         if self.is_started {
@@ -54,7 +56,7 @@
         }
     }
 
-    /// Handles one event at the time `now` and appends the actions that follow from it.
+    /// Handles one event at the time `now` and appends the resulting actions.
     pub fn handle(&mut self, now: Nanos, event: Event, actions: &mut Actions) {
         self.advance(now, actions);
         match event {
@@ -71,7 +73,7 @@
         match timer {
             Timer::Deadline { id } => lifecycle.on_deadline(id, context),
             Timer::LatencyObjective { id } => lifecycle.on_latency_objective(id, context),
-            Timer::CounterWait { id } => lifecycle.on_counter_wait_over(id, context),
+            Timer::CounterWait { id } => lifecycle.on_counter_wait_timeout(id, context),
             Timer::ReleaseQueue => lifecycle.on_release_timer(context),
             Timer::WatchHosts => context.push(Action::Watch { on: true }),
             Timer::Sweep => {
@@ -81,7 +83,7 @@
         }
     }
 
-    /// Handles an event of hosts, requests, attempts or counter calls.
+    /// Handles an event that concerns hosts, requests, attempts or counter calls.
     fn on_traffic(&mut self, event: Event, actions: &mut Actions) {
         let lifecycle = &mut self.lifecycle;
         let context = &mut Context::new(self.now, &self.settings, &mut self.random, actions);
@@ -129,15 +131,16 @@
         }
     }
 
-    /// Replaces the settings. Classes and plans keep the indices that known requests refer to.
+    /// Replaces the settings. Pending requests refer to classes and plans by index, so the new settings must
+    /// keep these indices.
     fn change_settings(&mut self, settings: Settings) {
         let settings = with_fallbacks(settings);
         let hosts = self.lifecycle.hosts_mut();
-        hosts.follow_classes(&self.settings.classes, &settings.classes);
+        hosts.remap_classes(&self.settings.classes, &settings.classes);
         self.settings = settings;
     }
 
-    /// The present state, for the limiter that succeeds this one.
+    /// Returns the current state, to be restored by the limiter that succeeds this one.
     #[must_use]
     pub fn snapshot(&self) -> EngineSnapshot {
         let hosts = self.lifecycle.hosts();
@@ -156,7 +159,7 @@
         }
     }
 
-    /// Continues from a predecessor's snapshot, if it is recent.
+    /// Restores the state from a predecessor's snapshot, unless it is older than [`MAX_SNAPSHOT_AGE`].
     fn restore(&mut self, snapshot: &EngineSnapshot) {
         let now = self.now;
         if now.saturating_sub(snapshot.at) > MAX_SNAPSHOT_AGE {
@@ -174,7 +177,7 @@
             .restore(snapshot, &self.settings.classes, now);
     }
 
-    /// The present status, for metrics.
+    /// Returns the current status, for metrics.
     #[must_use]
     pub fn status(&self) -> EngineStatus {
         let hosts = self.lifecycle.hosts();
@@ -190,7 +193,7 @@
     }
 }
 
-/// Handles an event of an attempt. Health checks and messages of peers are not used.
+/// Handles an event that concerns an attempt. Results of health checks and messages from peers are ignored.
 fn on_attempt_event(lifecycle: &mut RequestLifecycle, event: &Event, context: &mut Context) {
     match *event {
         Event::StreamStarted {
@@ -229,7 +232,8 @@
     }
 }
 
-/// Appends a class and a plan for indices out of range: not idempotent, without a quota.
+/// Appends a fallback class and a fallback plan, which requests with an index out of range get: not
+/// idempotent, without a quota. Raises a limiter count of zero to one.
 fn with_fallbacks(mut settings: Settings) -> Settings {
     settings.classes.push(Class {
         latency_objective: Nanos::MAX,
--- a/crates/decision/src/hosts.rs
+++ b/crates/decision/src/hosts.rs
@@ -1,5 +1,5 @@
-//! Hosts: the known hosts with their measurements, and the host that an attempt goes to. Knows neither quotas
-//! nor requests beyond their ids.
+//! Known hosts, their measurements, and the selection of a host for each attempt. Independent of quotas, and
+//! of requests beyond their ids.
 
 mod class_latency;
 mod host;
--- a/crates/decision/src/hosts/host.rs
+++ b/crates/decision/src/hosts/host.rs
@@ -1,4 +1,4 @@
-//! One host as this limiter knows it, and an attempt at it.
+//! Per-host state: listing, attempts in flight and measurements.
 
 use super::latency::LatencyScore;
 use super::limits::initial_host_limit;
@@ -8,24 +8,26 @@
 use crate::primitives::ConcurrencyLimit;
 use std::collections::BTreeSet;
 
-/// Hosts below this latency score count as healthy in the engine's status.
+/// Latency score below which a host counts as healthy in the engine's status.
 const HEALTHY_LATENCY_SCORE: f64 = 2.0;
 
-/// One host as this limiter knows it.
+/// Host state as seen by this limiter.
 #[derive(Clone, Debug)]
 pub(super) struct Host {
-    /// Its entry in the host list.
+    /// Latest entry in the host list.
     pub(super) entry: HostEntry,
     in_flight: BTreeSet<HostAttempt>,
-    /// Answer times of its present process.
+    /// Response times of the host's current process.
     pub(super) latency: LatencyScore,
-    /// Attempts of this limiter that the host takes at once and still answers well within the objective.
+    /// Estimated number of concurrent attempts of this limiter that the host can serve well within the latency
+    /// objective.
     pub(super) concurrency_limit: ConcurrencyLimit,
+    /// Failed attempts since the last success; rejections are not counted.
     pub(super) consecutive_failures: u32,
 }
 
 impl Host {
-    /// A host without measurements.
+    /// Creates a host without measurements.
     pub(super) fn new(entry: HostEntry, settings: &Settings, now: Nanos) -> Self {
         Host {
             entry,
@@ -36,8 +38,8 @@
         }
     }
 
-    /// Applies a new entry of the host list. Another start time means a new process: the measurements of the
-    /// old one are void, but its attempts are still in flight.
+    /// Applies a new entry of the host list. A different start time means a new process: the measurements of
+    /// the previous process are discarded, but its attempts are still in flight.
     pub(super) fn update(&mut self, entry: HostEntry, settings: &Settings, now: Nanos) {
         if entry.started != self.entry.started {
             let in_flight = std::mem::take(&mut self.in_flight);
@@ -49,38 +51,38 @@
         self.entry = entry;
     }
 
-    /// The host is not in a complete host list.
+    /// Marks the host as missing from a complete host list.
     pub(super) fn mark_gone(&mut self) {
         self.entry.state = HostState::Gone;
     }
 
-    /// Whether new attempts may go there: not while it drains or when it is gone.
+    /// Returns whether new attempts may be sent to the host, which is neither draining nor gone.
     pub(super) fn is_ready(&self) -> bool {
         self.entry.state == HostState::Ready
     }
 
-    /// Whether it is gone and its last attempt has ended.
+    /// Returns whether the host is gone and its last attempt has ended.
     pub(super) fn is_unused(&self) -> bool {
         self.entry.state == HostState::Gone && self.in_flight.is_empty()
     }
 
-    /// Whether this limiter has no attempt there.
+    /// Returns whether this limiter has no attempt in flight at the host.
     pub(super) fn is_idle(&self) -> bool {
         self.in_flight.is_empty()
     }
 
-    /// Whether its measured answer times are below twice the mean.
+    /// Returns whether the host's latency score is below [`HEALTHY_LATENCY_SCORE`].
     pub(super) fn is_healthy(&self) -> bool {
         self.latency.score() < HEALTHY_LATENCY_SCORE
     }
 
-    /// Number of attempts of this limiter in flight.
+    /// Returns the number of attempts of this limiter in flight at the host.
     pub(super) fn attempts_in_flight(&self) -> f64 {
         self.in_flight.len() as f64
     }
 
-    /// Whether this limiter has as many attempts there as the host takes. A further one would wait longer there
-    /// than in this limiter's queue.
+    /// Returns whether the attempts in flight have reached the host's concurrency limit. A further attempt
+    /// would wait longer at the host than in this limiter's queue.
     pub(super) fn is_full(&self) -> bool {
         self.attempts_in_flight() >= self.concurrency_limit.value()
     }
@@ -101,7 +103,7 @@
     }
 }
 
-/// Identifies an attempt in flight at a host.
+/// Key of an attempt in flight at a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct HostAttempt {
     sent_at: Nanos,
@@ -115,20 +117,20 @@
     pub(super) zone: ZoneId,
 }
 
-/// What an attempt requires of a host.
+/// Constraints on the host of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct HostRequirements {
     pub(crate) class: ClassIndex,
-    /// Host of the previous attempt, which failed.
+    /// Host of the previous attempt, which failed; `None` for a first attempt.
     pub(crate) avoid: Option<HostId>,
-    /// Location of the first attempt that may have run.
+    /// Location of the earliest attempt that may have run; `None` if none has.
     pub(crate) first_run: Option<Location>,
-    /// Random number in 0..1 that decides which host in slow start may be selected. Made once for each attempt:
-    /// a new number at each search would raise the part of the requests that hosts in slow start get.
+    /// Random number in 0..1 that decides which host in slow start may be selected. Drawn once per attempt: a
+    /// new number for each search would raise the fraction of requests that hosts in slow start get.
     pub(crate) slow_start_sample: f64,
 }
 
-/// An attempt that was sent to a host.
+/// Attempt that was sent to a host.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SentAttempt {
     pub(crate) request: RequestId,
@@ -137,10 +139,10 @@
     pub(crate) sent_at: Nanos,
 }
 
-/// How an attempt ended.
+/// Result of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AttemptResult {
     pub(crate) outcome: Outcome,
-    /// Time from sending it to its end.
+    /// Time from sending the attempt to its end.
     pub(crate) elapsed: Nanos,
 }
--- a/crates/decision/src/hosts/latency.rs
+++ b/crates/decision/src/hosts/latency.rs
@@ -1,5 +1,5 @@
-//! Latency scores: answer times of hosts and zones, relative to the mean of the request's class. They show
-//! outliers, which get fewer attempts.
+//! Latency scores: response times of hosts and zones relative to the mean of the request's class. Hosts and
+//! zones with a high score get fewer attempts.
 
 use crate::api::{Nanos, ZoneId};
 use crate::primitives::{remaining_fraction, ExponentialMean, WeightedMean};
@@ -8,48 +8,51 @@
 #[cfg(test)]
 mod tests;
 
-/// A zone's score counts like this many answers of the host itself.
+/// Weight of a zone's score against the host's own samples, in samples.
 const ZONE_SAMPLE_WEIGHT: f64 = 2.0;
-/// A failure counts like an answer of this multiple of the class's mean.
+/// Minimum score of a failure, as a multiple of the class's mean response time.
 pub(super) const FAILURE_LATENCY_SCORE: f64 = 5.0;
-/// Upper bound of one sample.
+/// Upper bound of a sample, as a multiple of the class's mean response time.
 pub(super) const MAX_LATENCY_SCORE: f64 = 2.0 * FAILURE_LATENCY_SCORE;
-/// The weight of samples falls by a factor of e in this many seconds.
+/// Time in which the weight of samples falls by a factor of e, in seconds.
 const SAMPLE_LIFETIME_SECONDS: f64 = 10.0;
-/// Number of answers to which the weight of a host's samples grows at most.
+/// Maximum weight of a host's score, in samples of weight one.
 pub(super) const MAX_SAMPLE_WEIGHT: f64 = 10.0;
-/// Weight of one more answer in a zone's mean.
+/// Smoothing factor of a zone's score, in 0..=1.
 const ZONE_SMOOTHING: f64 = 0.1;
 
-/// Whether a measured time is that of an answer or of a failure.
+/// Kind of a latency sample.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Measurement {
-    Answer,
+    /// Time to a successful response.
+    Response,
+    /// Time to a failure, to a rejection or to a missed latency objective.
     Failure,
 }
 
-/// The score of one measured time. A failure counts as slow: hosts that answer nothing, or reject at once,
-/// would else look idle.
+/// Returns the score of one measured time. A failure counts as slow, as hosts that never respond or that
+/// reject immediately would otherwise look idle.
 pub(super) fn sample_score(seconds: f64, class_mean_seconds: f64, measurement: Measurement) -> f64 {
-    let least = match measurement {
-        Measurement::Answer => 0.0,
+    let minimum = match measurement {
+        Measurement::Response => 0.0,
         Measurement::Failure => FAILURE_LATENCY_SCORE,
     };
     (seconds / class_mean_seconds)
-        .max(least)
+        .max(minimum)
         .min(MAX_LATENCY_SCORE)
 }
 
-/// Answer times of one host. The weight of its samples decays, so that an old score yields to the zone's.
+/// Latency score of one host. The weight of its samples decays, so that the zone's score replaces an old one.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LatencyScore {
+    /// Mean of the samples, with the weight that it had at `measured_at`.
     mean: WeightedMean,
-    /// Time of the last answer.
+    /// Time of the last sample.
     measured_at: Nanos,
 }
 
 impl LatencyScore {
-    /// The score of a host without answers: that of the class's mean.
+    /// Creates the score of a host without samples: 1.0, the class's mean.
     pub(super) fn new(now: Nanos) -> Self {
         LatencyScore::from_parts(WeightedMean::new(1.0, 0.0), now)
     }
@@ -58,12 +61,12 @@
         LatencyScore { mean, measured_at }
     }
 
-    /// Mean answer time as a multiple of the class's mean.
+    /// Returns the mean response time as a multiple of the class's mean.
     pub(super) fn score(&self) -> f64 {
         self.mean.value()
     }
 
-    /// The mean with the weight that it had at the last answer.
+    /// Returns the mean of the samples, with the weight that it had at the last sample.
     pub(super) fn mean(&self) -> WeightedMean {
         self.mean
     }
@@ -72,7 +75,7 @@
         self.measured_at
     }
 
-    /// Number of answers that the score stands for at a time.
+    /// Returns the decayed weight of the samples at `now`.
     pub(super) fn sample_weight(&self, now: Nanos) -> f64 {
         self.mean.weight() * remaining_fraction(now - self.measured_at, SAMPLE_LIFETIME_SECONDS)
     }
@@ -84,31 +87,31 @@
         self.measured_at = now;
     }
 
-    /// The host's score, mixed with its zone's by the weights of their samples.
+    /// Returns the mean of the host's score and its zone's, weighted by their samples.
     pub(super) fn mixed_with_zone(&self, zone_score: f64, now: Nanos) -> f64 {
         let weight = self.sample_weight(now);
         (weight * self.score() + ZONE_SAMPLE_WEIGHT * zone_score) / (weight + ZONE_SAMPLE_WEIGHT)
     }
 }
 
-/// Answer times of one zone.
+/// Latency score of one zone.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ZoneLatency {
-    /// Mean answer time as a multiple of the class's mean; failures count as slow.
+    /// Mean response time as a multiple of the class's mean; failures count as slow.
     pub(super) score: f64,
-    /// Time of the last answer.
+    /// Time of the last sample.
     pub(super) measured_at: Nanos,
 }
 
-/// Latency scores of the zones that have answered.
+/// Latency scores of the zones that have samples.
 #[derive(Debug, Default)]
 pub(super) struct ZoneLatencies {
     zones: BTreeMap<ZoneId, ZoneLatency>,
 }
 
 impl ZoneLatencies {
-    /// A zone's score, which returns to that of the mean with time: a zone that recovered from an outage would
-    /// else get no requests.
+    /// Returns a zone's score at `now`. It decays to 1.0, as a zone that recovered from an outage would
+    /// otherwise get no requests.
     pub(super) fn score(&self, zone: ZoneId, now: Nanos) -> f64 {
         let Some(latency) = self.zones.get(&zone) else {
             return 1.0;
@@ -131,7 +134,7 @@
         self.zones.iter().map(|(zone, latency)| (*zone, *latency))
     }
 
-    /// Sets the latency of a zone that has not answered yet.
+    /// Sets the score of a zone, unless it has samples already.
     pub(super) fn restore(&mut self, zone: ZoneId, latency: ZoneLatency) {
         self.zones.entry(zone).or_insert(latency);
     }
--- a/crates/decision/src/hosts/latency/tests.rs
+++ b/crates/decision/src/hosts/latency/tests.rs
@@ -7,9 +7,9 @@
 
 #[test]
 fn sample_is_a_multiple_of_the_class_mean_within_bounds() {
-    assert_eq!(sample_score(0.3, 0.1, Measurement::Answer), 0.3 / 0.1);
+    assert_eq!(sample_score(0.3, 0.1, Measurement::Response), 0.3 / 0.1);
     assert_eq!(
-        sample_score(9.0, 0.1, Measurement::Answer),
+        sample_score(9.0, 0.1, Measurement::Response),
         MAX_LATENCY_SCORE
     );
 }
@@ -23,12 +23,12 @@
 }
 
 #[test]
-fn host_without_answers_has_its_zones_score() {
+fn host_without_samples_has_its_zones_score() {
     assert_eq!(LatencyScore::new(0).mixed_with_zone(3.0, SECOND), 3.0);
 }
 
 #[test]
-fn own_answers_outweigh_the_zone_until_they_are_old() {
+fn own_samples_outweigh_the_zone_until_they_are_old() {
     let mut latency = LatencyScore::new(0);
     for _ in 0..8 {
         latency.record(1.0, SECOND);
--- a/crates/decision/src/hosts/limits.rs
+++ b/crates/decision/src/hosts/limits.rs
@@ -1,4 +1,4 @@
-//! Concurrency limits of each host and of all hosts together, adjusted by answer times.
+//! Concurrency limits per host and over all hosts, adjusted by response times.
 
 use super::host::{AttemptResult, SentAttempt};
 use super::HostPool;
@@ -10,40 +10,44 @@
 #[cfg(test)]
 mod tests;
 
-/// Attempts at once that a host gets at the start, from all limiters together.
+/// Initial number of concurrent attempts per host, from all limiters together.
 const INITIAL_HOST_CONCURRENCY: f64 = 6.0;
-/// Attempts by which the concurrency limit over all hosts changes with an answer, times how prompt that was.
+/// Gain of the concurrency limit over all hosts, in attempts per response and per unit of difference between
+/// the response's objective ratio and [`PROMPT_OBJECTIVE_RATIO`].
 const CONCURRENCY_GAIN: f64 = 0.3;
-/// Factors on a host's concurrency limit after an answer past its objective, and after one not prompt.
+/// Factor on a host's concurrency limit after a result past the latency objective.
 const MISSED_OBJECTIVE_BACKOFF: f64 = 0.25;
+/// Factor on a host's concurrency limit after any other result that is not a prompt success.
 const QUEUEING_BACKOFF: f64 = 0.7;
 /// Lower bound of a host's concurrency limit, in attempts.
 pub(super) const MIN_HOST_LIMIT: f64 = 1.0;
-/// A host's limit starts at no more than this many attempts.
+/// Upper bound of a host's initial concurrency limit, in attempts.
 const MAX_INITIAL_HOST_LIMIT: f64 = 2.0;
 
-/// Attempts at once for each host at the start, over all hosts.
+/// Returns the initial concurrency limit over all hosts, in attempts of this limiter per host at full capacity.
 pub(super) fn initial_pool_limit(settings: &Settings) -> f64 {
     INITIAL_HOST_CONCURRENCY / f64::from(settings.limiters.count)
 }
 
-/// Attempts at once at one host at the start.
+/// Returns the initial concurrency limit of one host, in attempts of this limiter.
 pub(super) fn initial_host_limit(settings: &Settings) -> f64 {
     initial_pool_limit(settings).clamp(MIN_HOST_LIMIT, MAX_INITIAL_HOST_LIMIT)
 }
 
 impl HostPool {
-    /// Whether no further attempt may be sent. Attempts that do not return keep their places, as hosts would
-    /// else collect requests that no client waits for. After a pause of the limiter it is too strict.
+    /// Returns whether the concurrency limit over all hosts is reached. Attempts that do not return keep
+    /// counting, as hosts would otherwise accumulate requests that no client waits for. The check is too
+    /// strict after a pause of the limiter.
     pub(crate) fn is_full(&self, context: &Context) -> bool {
         let limit = self.concurrency_limit.value() * self.ready_capacity(context);
         self.in_flight as f64 >= limit.round().max(1.0)
     }
 
-    /// Adjusts the limit over all hosts by an answer's time as a multiple of its latency objective: up while
-    /// answers are prompt and the limit is in use, down while they are not.
+    /// Adjusts the limit over all hosts by a response time, given as a multiple of its latency objective:
+    /// raises it after a prompt response if the limit is in use, and lowers it after any other.
     pub(crate) fn adjust_pool_limit(&mut self, objective_ratio: f64, context: &Context) {
-        // Absolute changes make all limiters together act alike, however many they are.
+        // The change is absolute, not relative to the limit, so that all limiters together behave alike
+        // whatever their number.
         let capacity = self.ready_capacity(context).max(1.0);
         let change = CONCURRENCY_GAIN * (PROMPT_OBJECTIVE_RATIO - objective_ratio);
         let is_in_use =
@@ -54,8 +58,8 @@
         }
     }
 
-    /// Adjusts the limit of one host by the result of an attempt (AIMD): a prompt success raises it, if it is
-    /// in use; any other result lowers it.
+    /// Adjusts the limit of one host by the result of an attempt (AIMD): a prompt success raises it if the
+    /// limit is in use, and any other result lowers it.
     pub(super) fn adjust_host_limit(
         &mut self,
         attempt: &SentAttempt,
@@ -68,18 +72,19 @@
             return;
         };
         let is_in_use = host.attempts_in_flight() + 1.0 >= host.concurrency_limit.value() / 2.0;
-        // Compared with a product: the quotient of the two times rounds otherwise.
+        // A product, since the quotient `elapsed / objective` would round differently.
         let is_prompt = elapsed <= objective * PROMPT_OBJECTIVE_RATIO;
         if result.outcome == Outcome::Good && is_prompt {
             if is_in_use {
-                // All limiters raise their limits at the same time, and late answers show it only afterwards.
+                // Divided by the number of limiters: all raise their limits at the same time, and late
+                // responses reveal an overload only afterwards.
                 let limiter_count = f64::from(context.settings().limiters.count);
                 let increase = 1.0 / host.concurrency_limit.value() / limiter_count;
                 host.concurrency_limit.add(increase, MIN_HOST_LIMIT);
             }
             return;
         }
-        // Past the objective all of a host's work is lost, and it recovers only if its queue empties.
+        // Past the objective all work of the host is wasted, and it recovers only once its queue is empty.
         let factor = if elapsed > objective {
             MISSED_OBJECTIVE_BACKOFF
         } else {
--- a/crates/decision/src/hosts/limits/tests.rs
+++ b/crates/decision/src/hosts/limits/tests.rs
@@ -24,7 +24,7 @@
     }
 }
 
-/// A pool of one host at one limiter, with an attempt in flight, and what its handling needs.
+/// Pool of one host at one limiter, with the state that a `Context` borrows.
 struct Harness {
     settings: Settings,
     random: fastrand::Rng,
@@ -56,7 +56,7 @@
         call(&mut self.pool, &mut context)
     }
 
-    /// The host's limit after one attempt with a result.
+    /// Returns the host's limit after one attempt with the given result.
     fn host_limit_after(&mut self, outcome: Outcome, elapsed: u64) -> f64 {
         let attempt = SentAttempt {
             request: RequestId(1),
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn late_answers_lower_the_pool_limit_and_prompt_ones_raise_it_while_it_is_in_use() {
+fn late_responses_lower_the_pool_limit_and_prompt_ones_leave_an_unused_limit() {
     let mut harness = Harness::new();
     let initial = harness.pool.concurrency_limit();
     harness.with_pool(|pool, context| pool.adjust_pool_limit(0.0, context));
--- a/crates/decision/src/hosts/pool.rs
+++ b/crates/decision/src/hosts/pool.rs
@@ -1,4 +1,4 @@
-//! The known hosts, attempts in flight at them, and the results of attempts.
+//! Pool of the known hosts: host list updates, attempts in flight and their results.
 
 use super::class_latency::ClassLatencies;
 use super::host::{AttemptResult, Host, Location, SentAttempt};
@@ -14,18 +14,18 @@
 use crate::time::{to_seconds, SECOND};
 use std::collections::BTreeMap;
 
-/// How long after a failure the host list is requested again.
+/// Time from a discovery failure to the next subscription to the host list, in nanoseconds.
 const WATCH_RETRY_INTERVAL: Nanos = SECOND;
-/// Number of failures in a row after which a host is logged.
+/// Number of consecutive failures at which a host is reported in the log.
 const FAILURES_BEFORE_LOG: u32 = 3;
 
-/// All hosts as this limiter knows them.
+/// Known hosts and their measurements.
 #[derive(Debug)]
 pub(crate) struct HostPool {
     hosts: BTreeMap<HostId, Host>,
-    /// Attempts in flight at all hosts.
+    /// Number of attempts of this limiter in flight at all hosts.
     pub(super) in_flight: usize,
-    /// Attempts that this limiter may have in flight for each host at full capacity.
+    /// Maximum number of attempts of this limiter in flight per host at full capacity.
     pub(super) concurrency_limit: ConcurrencyLimit,
     pub(super) class_latencies: ClassLatencies,
     pub(super) zone_latencies: ZoneLatencies,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Applies a host list, or retries the subscription when there is none.
+    /// Applies a host list. If discovery failed, schedules a new subscription where the list is polled.
     pub(crate) fn update_hosts(
         &mut self,
         mode: ListMode,
@@ -77,18 +77,18 @@
         }
     }
 
-    /// Removes hosts that are gone and have no attempt in flight. Without this, they would accumulate as hosts
-    /// are replaced.
+    /// Removes hosts that are gone and have no attempt in flight, which would otherwise accumulate as hosts are
+    /// replaced.
     pub(crate) fn remove_unused(&mut self) {
         self.hosts.retain(|_, host| !host.is_unused());
     }
 
-    /// Follows a change of the settings: a class keeps its mean answer time by its name.
-    pub(crate) fn follow_classes(&mut self, previous: &[Class], current: &[Class]) {
-        self.class_latencies.follow_classes(previous, current);
+    /// Reorders the mean response times after a change of the settings. Classes are matched by name.
+    pub(crate) fn remap_classes(&mut self, previous: &[Class], current: &[Class]) {
+        self.class_latencies.remap_classes(previous, current);
     }
 
-    /// Records an attempt that is sent now. Returns the host's location; `None` for an unknown host.
+    /// Records that an attempt is sent at `now`. Returns the host's location, or `None` for an unknown host.
     pub(crate) fn begin_attempt(
         &mut self,
         request: RequestId,
@@ -109,8 +109,8 @@
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Records the result of an attempt that the host may have seen, in the measurements of the host, its zone
-    /// and the request's class.
+    /// Records the result of an attempt that may have reached the host, in the measurements of the host, its
+    /// zone and the request's class.
     pub(crate) fn record_result(
         &mut self,
         attempt: &SentAttempt,
@@ -118,7 +118,7 @@
         context: &mut Context,
     ) {
         let measurement = match result.outcome {
-            Outcome::Good => Measurement::Answer,
+            Outcome::Good => Measurement::Response,
             _ => Measurement::Failure,
         };
         self.record_latency(attempt, result.elapsed, measurement, context.now());
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Records that an attempt has no answer by the latency objective of its class. Its result follows later.
+    /// Records that an attempt has missed the latency objective of its class. Its result follows later.
     pub(crate) fn record_missed_objective(&mut self, attempt: &SentAttempt, now: Nanos) {
         let elapsed = now - attempt.sent_at;
         self.record_latency(attempt, elapsed, Measurement::Failure, now);
@@ -147,7 +147,7 @@
         let Some(host) = self.hosts.get_mut(&attempt.host) else {
             return;
         };
-        // Before the first answer of the class there is nothing to compare with.
+        // Before the first response of the class there is no mean to compare with.
         if class_mean <= 0.0 {
             return;
         }
@@ -178,27 +178,27 @@
         }
     }
 
-    /// Mean answer time of a class; zero before its first answer.
+    /// Returns the mean response time of a class; zero before its first response.
     pub(crate) fn mean_latency(&self, class: ClassIndex) -> Nanos {
         self.class_latencies.mean(class)
     }
 
-    /// Attempts that this limiter may have in flight for each host at full capacity.
+    /// Returns the maximum number of attempts of this limiter in flight per host at full capacity.
     pub(crate) fn concurrency_limit(&self) -> f64 {
         self.concurrency_limit.value()
     }
 
-    /// Attempts in flight at all hosts.
+    /// Returns the number of attempts of this limiter in flight at all hosts.
     pub(crate) fn in_flight(&self) -> usize {
         self.in_flight
     }
 
-    /// The hosts that new attempts may go to, by their ids.
+    /// Returns the hosts that new attempts may be sent to, in the order of their ids.
     pub(super) fn ready_hosts(&self) -> impl Iterator<Item = &Host> {
         self.hosts.values().filter(|host| host.is_ready())
     }
 
-    /// All known hosts, by their ids.
+    /// Returns all known hosts in the order of their ids.
     pub(super) fn hosts(&self) -> impl Iterator<Item = (HostId, &Host)> {
         self.hosts.iter().map(|(id, host)| (*id, host))
     }
@@ -207,14 +207,14 @@
         self.hosts.get_mut(&id)
     }
 
-    /// Capacity of all ready hosts, as a number of hosts that are past slow start.
+    /// Returns the total capacity of the ready hosts; a host past slow start counts as 1.0.
     pub(super) fn ready_capacity(&self, context: &Context) -> f64 {
         let slow_start = &context.settings().slow_start;
         let progress = |host: &Host| slow_start::progress(host, slow_start, context.now());
         self.ready_hosts().map(progress).sum()
     }
 
-    /// Whether the host list has no entry.
+    /// Returns whether no host is known, not even a draining or gone one.
     pub(crate) fn is_empty(&self) -> bool {
         self.hosts.is_empty()
     }
@@ -227,7 +227,7 @@
         self.ready_hosts().filter(|host| host.is_healthy()).count()
     }
 
-    /// Whether a host that is ready has no attempt of this limiter.
+    /// Returns whether a ready host has no attempt of this limiter in flight.
     pub(crate) fn has_idle_host(&self) -> bool {
         self.ready_hosts().any(Host::is_idle)
     }
--- a/crates/decision/src/hosts/selection.rs
+++ b/crates/decision/src/hosts/selection.rs
@@ -1,4 +1,4 @@
-//! Selection of the host for an attempt: a scan of all ready hosts for the lowest load score.
+//! Host selection for an attempt: scans all ready hosts for the lowest load score.
 
 use super::host::{Host, HostRequirements};
 use super::latency::FAILURE_LATENCY_SCORE;
@@ -9,16 +9,16 @@
 #[cfg(test)]
 mod tests;
 
-/// Power of the latency score that divides a host's part of the attempts. A zone's score counts once more, as
-/// a zone has more answers.
+/// Exponent of the latency score, by which a host's share of the attempts is divided. The zone's score is
+/// multiplied in once more, as a zone has more samples than a host.
 const LATENCY_EXPONENT: i32 = 2;
 
-/// A ready host.
+/// Ready host that is considered for an attempt.
 struct Candidate<'a> {
     host: &'a Host,
-    /// In 0..=1; below one: the host is in slow start.
+    /// Fraction of the full capacity, in 0..=1; below one while the host is in slow start.
     slow_start_progress: f64,
-    /// Relative selection weight: configured weight scaled by slow-start progress.
+    /// Relative selection weight: the configured weight times the slow-start progress.
     weight: f64,
 }
 
@@ -48,8 +48,9 @@
 }
 
 impl HostPool {
-    /// Selects the host for a request's next attempt: the least loaded for its speed, the limiter's zone first.
-    /// `None`: no host that meets the requirements has capacity.
+    /// Returns the host for a request's next attempt: the one with the lowest load for its speed, with a
+    /// preference for the limiter's own zone. Returns `None` if no host that meets the requirements has
+    /// capacity.
     pub(crate) fn select_host(
         &self,
         requirements: &HostRequirements,
@@ -63,33 +64,33 @@
         let slow_start_host =
             sample_slow_start_host(sample, &candidates, &context.settings().slow_start);
         let class = context.class(requirements.class);
-        let mut least_score = f64::INFINITY;
+        let mut lowest_score = f64::INFINITY;
         let mut selected = None;
         for candidate in &candidates {
             let is_sampled = slow_start_host == Some(candidate.id());
-            let is_left_out = candidate.is_in_slow_start() && !is_sampled;
+            let is_excluded = candidate.is_in_slow_start() && !is_sampled;
             if !is_in_dedup_scope(candidate.host, requirements, class)
-                || is_left_out
+                || is_excluded
                 || candidate.host.is_full()
             {
                 continue;
             }
             let load = self.load(candidate, requirements, context);
-            // A host in slow start that was sampled is selected: compared by load, it hardly ever would be.
+            // A sampled host in slow start is always selected; if compared by load, it hardly ever would be.
             let score = if candidate.is_in_slow_start() {
                 0.0
             } else {
                 load
             };
-            if selected.is_none() || score < least_score {
-                least_score = score;
+            if selected.is_none() || score < lowest_score {
+                lowest_score = score;
                 selected = Some(candidate.id());
             }
         }
         selected
     }
 
-    /// Estimated load of a host relative to its speed and weight.
+    /// Returns the estimated load of a host relative to its speed and weight.
     fn load(
         &self,
         candidate: &Candidate,
@@ -104,15 +105,16 @@
             host.latency.mixed_with_zone(zone_score, context.now())
         };
         let attempts = host.attempts_in_flight()
-            + estimated_attempts_of_others(context)
+            + estimated_attempts_of_other_limiters(context)
             + cross_zone_attempts(host, context.settings());
         attempts * (latency_score * zone_score).powi(LATENCY_EXPONENT) / candidate.weight
     }
 }
 
-/// The host in slow start that an attempt may go to, by a random number in 0..1. Each gets a part of the
-/// requests equal to its part of the total capacity, less a margin for chance. Selected by load, many limiters
-/// would each find such a host idle and overload it together.
+/// Returns the host in slow start that an attempt may be sent to, chosen by a random number in 0..1. Each
+/// such host gets a fraction of the requests equal to its share of the total capacity, reduced by a margin
+/// for random variation. If hosts in slow start were selected by load, many limiters would each find the same
+/// host idle and overload it together.
 fn sample_slow_start_host(
     random_sample: f64,
     candidates: &[Candidate],
@@ -132,7 +134,8 @@
     None
 }
 
-/// Whether a host drops duplicates of the attempt that may have run.
+/// Returns whether the deduplication scope of the request allows a host: if an earlier attempt may have run,
+/// the host must drop its duplicates.
 fn is_in_dedup_scope(host: &Host, requirements: &HostRequirements, class: &Class) -> bool {
     match (requirements.first_run, class.effect, class.dedup_scope) {
         (Some(location), Effect::IdempotentWithKey, DedupScope::Cell) => {
@@ -145,24 +148,25 @@
     }
 }
 
-/// Part of the limiters that are others.
-fn part_of_others(settings: &Settings) -> f64 {
+/// Returns the fraction of all limiters that this one is not.
+fn other_limiters_fraction(settings: &Settings) -> f64 {
     1.0 - 1.0 / f64::from(settings.limiters.count)
 }
 
-/// A random estimate of the attempts that other limiters have in flight at a host, which this one does not
-/// know: exponentially distributed with a mean of `part_of_others`, plus this limiter's own part. With the same
-/// estimate for all hosts, all limiters would find the same host least loaded.
-fn estimated_attempts_of_others(context: &mut Context) -> f64 {
-    let others = part_of_others(context.settings());
+/// Returns a random estimate of the attempts that other limiters have in flight at a host, which this limiter
+/// cannot observe: exponentially distributed with a mean of `other_limiters_fraction`, plus this limiter's own
+/// fraction. With the same estimate for all hosts, all limiters would select the same least loaded host.
+fn estimated_attempts_of_other_limiters(context: &mut Context) -> f64 {
+    let others = other_limiters_fraction(context.settings());
     1.0 - others - others * (1.0 - context.random_fraction()).ln()
 }
 
-/// Attempts that a host in another zone counts as having more, so that the limiter's own zone comes first.
+/// Returns the attempts added to the load of a host in another zone, so that the limiter's own zone is
+/// preferred.
 fn cross_zone_attempts(host: &Host, settings: &Settings) -> f64 {
     if host.entry.zone == settings.limiters.own_zone {
         0.0
     } else {
-        part_of_others(settings)
+        other_limiters_fraction(settings)
     }
 }
--- a/crates/decision/src/hosts/selection/tests.rs
+++ b/crates/decision/src/hosts/selection/tests.rs
@@ -32,7 +32,7 @@
     }
 }
 
-/// Three hosts: the first and the second in zone 1, the third in zone 2.
+/// Returns three hosts in cells of their own: the first two in zone 1, the third in zone 2.
 fn entries() -> Vec<HostEntry> {
     let entry = |id: u32, zone: u32| HostEntry {
         host: HostId(id),
@@ -53,7 +53,7 @@
     }
 }
 
-/// A pool of listed hosts that is asked for hosts.
+/// Pool of listed hosts, with the state that a `Context` borrows.
 struct Harness {
     settings: Settings,
     random: fastrand::Rng,
--- a/crates/decision/src/hosts/slow_start.rs
+++ b/crates/decision/src/hosts/slow_start.rs
@@ -1,4 +1,4 @@
-//! Slow start: the capacity of hosts that started recently.
+//! Slow start: capacity of hosts that started recently.
 
 use super::host::Host;
 use crate::api::{Nanos, SlowStartSettings};
@@ -6,15 +6,16 @@
 #[cfg(test)]
 mod tests;
 
-/// Answers below this multiple of the class's mean show a higher capacity than the host's age ...
-const HEALTHY_LATENCY_SCORE: f64 = 1.5;
-/// ... up to this factor, which with the part left to chance is less than half of an overload.
+/// Latency score below which a host has more capacity than its age suggests.
+const PROMPT_LATENCY_SCORE: f64 = 1.5;
+/// Upper bound of the factor by which a low latency score raises the capacity. With the margin for random
+/// variation in host selection, it stays below half of an overload.
 const MAX_MEASURED_GAIN: f64 = 2.0;
-/// Number of answers from which on the measured latency counts.
+/// Minimum weight of a host's samples for its latency score to raise its capacity.
 const MIN_SAMPLE_WEIGHT: f64 = 2.0;
 
-/// Slow-start progress of a host: the part of its full capacity that it has at least, in 0..=1. One: the host
-/// is past slow start.
+/// Returns the slow-start progress of a host: the fraction of its full capacity that it has at least, in 0..=1.
+/// The result is 1.0 for a host past slow start, or whose start time is unknown.
 pub(super) fn progress(host: &Host, settings: &SlowStartSettings, now: Nanos) -> f64 {
     let age = now.saturating_sub(host.entry.started);
     let is_start_known = host.entry.started != 0;
@@ -25,18 +26,18 @@
     progress.min(1.0)
 }
 
-/// Capacity by the time since the start: linear from the initial capacity to one.
+/// Returns the capacity by the time since the start, which grows linearly from the initial capacity to one.
 fn progress_by_age(age: Nanos, settings: &SlowStartSettings) -> f64 {
-    // Multiplied before divided: another order rounds otherwise.
+    // Multiplies before dividing, as another order rounds differently.
     settings.initial_capacity
         + (1.0 - settings.initial_capacity) * age as f64 / settings.duration as f64
 }
 
-/// Factor on the capacity by age for a host that answers well. Hosts gain capacity by serving requests: by age
-/// alone, one that serves few would stay slow.
+/// Returns the factor on the capacity by age, above 1.0 for a host with a low latency score. Hosts gain
+/// capacity by serving requests: by age alone, a host that gets few requests would stay slow.
 fn measured_gain(host: &Host, now: Nanos) -> f64 {
     if host.latency.sample_weight(now) < MIN_SAMPLE_WEIGHT {
         return 1.0;
     }
-    (HEALTHY_LATENCY_SCORE / host.latency.score()).clamp(1.0, MAX_MEASURED_GAIN)
+    (PROMPT_LATENCY_SCORE / host.latency.score()).clamp(1.0, MAX_MEASURED_GAIN)
 }
--- a/crates/decision/src/hosts/slow_start/tests.rs
+++ b/crates/decision/src/hosts/slow_start/tests.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn prompt_answers_raise_the_capacity_up_to_twofold() {
+fn low_latency_raises_the_capacity_up_to_twofold() {
     let mut host = host(START);
     for _ in 0..5 {
         host.latency.record(0.1, START);
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn slow_answers_do_not_lower_it() {
+fn high_latency_does_not_lower_the_capacity() {
     let mut host = host(START);
     for _ in 0..5 {
         host.latency.record(5.0, START);
--- a/crates/decision/src/hosts/snapshot.rs
+++ b/crates/decision/src/hosts/snapshot.rs
@@ -1,6 +1,6 @@
-//! Snapshot of the hosts' measurements.
+//! Snapshot and restore of the hosts' measurements.
 
-use super::class_latency::MAX_CLASS_ANSWERS;
+use super::class_latency::MAX_CLASS_SAMPLES;
 use super::host::Host;
 use super::latency::{LatencyScore, ZoneLatency, MAX_LATENCY_SCORE, MAX_SAMPLE_WEIGHT};
 use super::limits::MIN_HOST_LIMIT;
@@ -11,13 +11,15 @@
     valid_or, ClassSnapshot, EngineSnapshot, HostSnapshot, LatencyScoreSnapshot, ZoneSnapshot,
 };
 
-/// Bounds of restored values.
+/// Lower bound of a restored concurrency limit over all hosts, in attempts per host.
 const MIN_POOL_LIMIT: f64 = 0.1;
+/// Upper bound of restored concurrency limits, in attempts.
 const MAX_CONCURRENCY: f64 = 1e3;
+/// Upper bound of a restored mean response time, in seconds.
 const MAX_LATENCY_SECONDS: f64 = 1e3;
 
 impl HostPool {
-    /// Answer times of the classes.
+    /// Returns the mean response times of the classes, in the order of the settings.
     pub(crate) fn class_snapshots(&self, classes: &[Class]) -> Vec<ClassSnapshot> {
         let classes = classes.iter().zip(self.class_latencies.means());
         classes
@@ -29,14 +31,14 @@
             .collect()
     }
 
-    /// Measurements of the hosts.
+    /// Returns the measurements of all known hosts, in the order of their ids.
     pub(crate) fn host_snapshots(&self) -> Vec<HostSnapshot> {
         self.hosts()
             .map(|(id, host)| host_snapshot(id, host))
             .collect()
     }
 
-    /// Latency scores of the zones.
+    /// Returns the latency scores of the zones that have samples.
     pub(crate) fn zone_snapshots(&self) -> Vec<ZoneSnapshot> {
         let zones = self.zone_latencies.iter();
         zones
@@ -48,7 +50,8 @@
             .collect()
     }
 
-    /// Continues from a predecessor's snapshot. Values that this limiter has measured itself stay.
+    /// Restores the measurements from a predecessor's snapshot. Means of classes and scores of zones that this
+    /// limiter has measured itself are kept.
     pub(crate) fn restore(&mut self, snapshot: &EngineSnapshot, classes: &[Class], now: Nanos) {
         let limit = self.concurrency_limit.value();
         let limit = valid_or(
@@ -69,17 +72,17 @@
         }
     }
 
-    /// Restores the answer times of a class, identified by its name.
+    /// Restores the mean response time of a class, identified by its name.
     fn restore_class(&mut self, class: &ClassSnapshot, classes: &[Class]) {
         let index = classes.iter().rposition(|known| known.name == class.name);
         let Some(index) = index else { return };
         let mean = valid_or(class.mean_latency, 0.0, MAX_LATENCY_SECONDS, 0.0);
-        let answers = valid_or(class.answers, 0.0, MAX_CLASS_ANSWERS, 0.0);
+        let answers = valid_or(class.answers, 0.0, MAX_CLASS_SAMPLES, 0.0);
         self.class_latencies
             .restore(index, WeightedMean::new(mean, answers));
     }
 
-    /// Restores the measurements of a host, if it is still the same process.
+    /// Restores the measurements of a host, unless its process has restarted since.
     fn restore_host(&mut self, snapshot: &HostSnapshot, now: Nanos) {
         let Some(host) = self.host_mut(HostId(snapshot.host)) else {
             return;
--- a/crates/decision/src/lib.rs
+++ b/crates/decision/src/lib.rs
@@ -1,10 +1,10 @@
-//! The decisions of one limiter, without I/O and without a clock.
+//! Decision logic of one limiter, free of I/O and of clock reads.
 //!
-//! The [`DecisionEngine`] takes [`api::Event`]s with their times and returns [`api::Action`]s. It owns the
-//! time and the settings and routes events to `lifecycle`, which follows each request from its arrival to its
-//! final answer. `lifecycle` calls three parts that know neither it nor each other: `admission` sheds load,
-//! `quota` keeps each customer's count, `hosts` selects the host of an attempt. `primitives` holds mechanisms
-//! that know neither requests nor hosts.
+//! The [`DecisionEngine`] takes timestamped [`api::Event`]s and returns [`api::Action`]s. It owns the current
+//! time and the settings, and routes events to `lifecycle`, which tracks each request from its arrival to its
+//! final response. `lifecycle` calls three modules that depend neither on it nor on each other: `admission`
+//! sheds load, `quota` keeps each customer's count, and `hosts` selects the host of an attempt. `primitives`
+//! holds generic building blocks that depend on neither requests nor hosts.
 //!
 //! `docs/design.md` gives the reasons and the conditions of each exception.
 
--- a/crates/decision/src/lifecycle.rs
+++ b/crates/decision/src/lifecycle.rs
@@ -1,5 +1,6 @@
-//! Request lifecycle: from arrival over admission, queue, attempts and retries to the final answer. Calls
-//! `admission`, `quota` and `hosts`, which know neither it nor each other. Knows neither sockets nor clocks.
+//! Request lifecycle: arrival, admission, queueing, attempts, retries and the final response. Calls
+//! `admission`, `quota` and `hosts`, which depend neither on it nor on each other. Uses neither sockets nor
+//! clocks.
 
 mod arrival;
 mod attempt;
@@ -26,7 +27,7 @@
 use retry_budget::RetryBudget;
 use std::collections::BTreeMap;
 
-/// All requests without a final answer, and the parts that decide on them.
+/// Pending requests and the state of the modules that decide on them.
 #[derive(Debug)]
 pub(crate) struct RequestLifecycle {
     requests: RequestTable,
@@ -57,37 +58,37 @@
         self.hosts.remove_unused();
     }
 
-    /// The known hosts.
+    /// Returns the known hosts.
     pub(crate) fn hosts(&self) -> &HostPool {
         &self.hosts
     }
 
-    /// The known hosts, to be changed.
+    /// Returns the known hosts, mutably.
     pub(crate) fn hosts_mut(&mut self) -> &mut HostPool {
         &mut self.hosts
     }
 
-    /// The quotas of the customers.
+    /// Returns the quotas of the customers.
     pub(crate) fn quotas(&self) -> &QuotaTracker {
         &self.quotas
     }
 
-    /// The quotas of the customers, to be changed.
+    /// Returns the quotas of the customers, mutably.
     pub(crate) fn quotas_mut(&mut self) -> &mut QuotaTracker {
         &mut self.quotas
     }
 
-    /// The admission of requests.
+    /// Returns the load shedder.
     pub(crate) fn shedder(&self) -> &LoadShedder {
         &self.shedder
     }
 
-    /// The admission of requests, to be changed.
+    /// Returns the load shedder, mutably.
     pub(crate) fn shedder_mut(&mut self) -> &mut LoadShedder {
         &mut self.shedder
     }
 
-    /// Number of requests that wait for capacity.
+    /// Returns the number of requests that wait for capacity.
     pub(crate) fn queued_count(&self) -> usize {
         self.queue.len()
     }
--- a/crates/decision/src/lifecycle/arrival.rs
+++ b/crates/decision/src/lifecycle/arrival.rs
@@ -1,4 +1,4 @@
-//! Arrival of a request: load shedding and the verdict of its customer's quota.
+//! Request arrival: load shedding and the quota verdict.
 
 use super::release::retry_after;
 use super::request::{PendingRequest, RequestState};
@@ -12,10 +12,10 @@
     time_to_next_window, Correction, CounterReply, QuotaClaim, Verdict, VerdictBasis,
 };
 
-/// Part of its latency objective that a request waits for the counter at most.
+/// Maximum wait for the counter, as a fraction of the time to the request's latency objective.
 const COUNTER_WAIT_OBJECTIVE_FRACTION: f64 = 0.1;
 
-/// A request that arrives.
+/// Arriving request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Arrival {
     pub(crate) id: RequestId,
@@ -24,13 +24,15 @@
     pub(crate) customer: CustomerId,
     /// Duration after which the client gives up.
     pub(crate) budget: Nanos,
+    /// Units that the request takes from the quota.
     pub(crate) units: f64,
     /// Number of limiters through which this customer's requests arrive.
     pub(crate) spread: u32,
 }
 
 impl Arrival {
-    /// The claim on the customer's quota. Values out of range are limited: an unknown plan is the fallback.
+    /// Returns the claim on the customer's quota. Units and spread are clamped to their ranges, and an
+    /// unknown plan is replaced by the fallback plan.
     fn claim(&self, settings: &Settings) -> QuotaClaim {
         let fallback = PlanIndex::from_usize(settings.plans.len() - 1);
         QuotaClaim {
@@ -42,8 +44,8 @@
         }
     }
 
-    /// The class; an unknown one is the fallback.
-    fn known_class(&self, settings: &Settings) -> ClassIndex {
+    /// Returns the request's class, or the fallback class for an unknown one.
+    fn class_or_fallback(&self, settings: &Settings) -> ClassIndex {
         let fallback = ClassIndex::from_usize(settings.classes.len() - 1);
         self.class.min(fallback)
     }
@@ -53,7 +55,7 @@
         PendingRequest {
             claim: self.claim(settings),
             requirements: HostRequirements {
-                class: self.known_class(settings),
+                class: self.class_or_fallback(settings),
                 avoid: None,
                 first_run: None,
                 slow_start_sample: context.random_fraction(),
@@ -68,7 +70,7 @@
 }
 
 impl RequestLifecycle {
-    /// Handles a request that arrives: its timers, load shedding, and the first verdict of the quota.
+    /// Handles an arriving request: sets its timers, applies load shedding and obtains the first quota verdict.
     pub(crate) fn on_arrival(&mut self, arrival: Arrival, context: &mut Context) {
         let id = arrival.id;
         let request = arrival.into_request(context);
@@ -93,7 +95,8 @@
         }
     }
 
-    /// The quota's verdict on a new request. Without a counter, each limiter holds customers to its share.
+    /// Returns the quota verdict on a new request. Without a counter service, each limiter enforces its own
+    /// share of the quota.
     fn first_verdict(
         &mut self,
         id: RequestId,
@@ -115,7 +118,7 @@
         verdict
     }
 
-    /// Handles the reply to a counter call.
+    /// Handles the reply to a counter call and judges the requests that waited for it.
     pub(crate) fn on_counter_reply(
         &mut self,
         name: &str,
@@ -130,12 +133,12 @@
         }
     }
 
-    /// Handles the end of a request's wait for the counter: the verdict follows without a reply.
-    pub(crate) fn on_counter_wait_over(&mut self, id: RequestId, context: &mut Context) {
+    /// Handles the timeout of a request's wait for the counter: the request is judged without the reply.
+    pub(crate) fn on_counter_wait_timeout(&mut self, id: RequestId, context: &mut Context) {
         self.judge(id, VerdictBasis::LocalKnowledge, context);
     }
 
-    /// Judges a request that waits for the counter, and applies the verdict.
+    /// Judges a request and applies the verdict, if the request still waits for the counter.
     fn judge(&mut self, id: RequestId, basis: VerdictBasis, context: &mut Context) {
         let Some(request) = self.requests.in_state(id, RequestState::AwaitingCounter) else {
             return;
@@ -155,7 +158,7 @@
             Verdict::AwaitingCounter => return,
             Verdict::Pass => return self.admit(id, context),
             Verdict::OverQuota => time_to_next_window(&request.claim, context),
-            // Other limiters may still have a share: a retry may be in time.
+            // Other limiters may have quota left, so an early retry may succeed within the objective.
             Verdict::OverLocalShare => retry_after(&request, context),
         };
         self.refund(&request.claim, context);
@@ -167,14 +170,15 @@
         self.requests.remove(id);
     }
 
-    /// Whether a request beyond its quota may use an idle host: it earns more than it costs.
+    /// Returns whether an over-quota request may use an idle host: it must earn more than it costs, and no
+    /// other request may be queued.
     fn may_use_idle_host_beyond_quota(&self, request: &PendingRequest, context: &Context) -> bool {
         let plan = context.plan(request.plan());
         let is_profitable = plan.over_quota_weight > plan.over_quota_cost;
         is_profitable && self.queue.is_empty() && self.hosts.has_idle_host()
     }
 
-    /// Admits a request that is charged to no count.
+    /// Admits a request without charging it to its customer's count.
     fn admit_uncharged(&mut self, id: RequestId, context: &mut Context) {
         if let Some(request) = self.requests.get_mut(id) {
             request.claim.charge = None;
@@ -182,7 +186,7 @@
         self.admit(id, context);
     }
 
-    /// Takes the units of a claim off its customer's count.
+    /// Subtracts the units of a claim from its customer's count.
     pub(super) fn refund(&mut self, claim: &QuotaClaim, context: &mut Context) {
         self.quotas
             .adjust(claim, -claim.units, Correction::Refund, context);
@@ -191,7 +195,7 @@
 
 fn set_request_timers(arrival: &Arrival, time_to_objective: Nanos, context: &mut Context) {
     let id = arrival.id;
-    // One tick early, as timers may come late but never early.
+    // One tick early, as timers may fire late but never early.
     let time_to_deadline = arrival
         .budget
         .saturating_sub(context.settings().limiters.tick);
--- a/crates/decision/src/lifecycle/attempt.rs
+++ b/crates/decision/src/lifecycle/attempt.rs
@@ -3,29 +3,29 @@
 use crate::api::{AttemptIndex, CustomerId, RequestId};
 use crate::hosts::{AttemptResult, SentAttempt};
 
-/// Identifies an attempt.
+/// Key of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct AttemptKey {
     pub(crate) request: RequestId,
     pub(crate) attempt: AttemptIndex,
 }
 
-/// An attempt in flight.
+/// Attempt in flight.
 #[derive(Clone, Debug)]
 pub(super) struct InFlightAttempt {
     pub(super) sent: SentAttempt,
     pub(super) customer: CustomerId,
-    /// Its answer has begun: the host's work is done, while the customer's cap on concurrent attempts still
-    /// counts it.
+    /// Whether the streamed response has started. The attempt then no longer counts against the host, but still
+    /// counts against the customer's limit on concurrent attempts.
     pub(super) has_stream_started: bool,
 }
 
-/// How an attempt ended.
+/// End of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AttemptEnd {
     pub(crate) result: AttemptResult,
     /// Whether the request is finished, by this outcome or before it.
     pub(crate) is_request_finished: bool,
-    /// The request's true units where they were an estimate; zero: not reported.
+    /// Actual units of a request whose units were an estimate; zero if not reported.
     pub(crate) true_units: f64,
 }
--- a/crates/decision/src/lifecycle/completion.rs
+++ b/crates/decision/src/lifecycle/completion.rs
@@ -1,4 +1,4 @@
-//! Completion: the outcomes of attempts, and the final answer of a request.
+//! Completion: results of attempts and the final response to a request.
 
 use super::attempt::{AttemptEnd, AttemptKey};
 use super::release::retry_after;
@@ -11,8 +11,8 @@
 use crate::quota::Correction;
 
 impl RequestLifecycle {
-    /// Handles the begin of a streamed answer. The host's work is done then, however long the client takes to
-    /// read the answer. The customer's cap on concurrent attempts still counts the attempt.
+    /// Handles the start of a streamed response. The host's work is done by then, however long the client
+    /// takes to read the response. The customer's limit on concurrent attempts still counts the attempt.
     pub(crate) fn on_stream_started(
         &mut self,
         key: AttemptKey,
@@ -37,7 +37,7 @@
         self.release_queue(context);
     }
 
-    /// Handles the end of an attempt.
+    /// Handles the end of an attempt, which may lead to a retry or to the final response.
     pub(crate) fn on_attempt_done(
         &mut self,
         key: AttemptKey,
@@ -53,7 +53,7 @@
             self.record_result(&attempt.sent, &end.result, context);
         }
         if outcome.never_ran() {
-            self.forget_first_run(key);
+            self.clear_first_run(key);
         }
         self.settle_units(key.request, &end, context);
         if end.is_request_finished {
@@ -64,7 +64,7 @@
         self.release_queue(context);
     }
 
-    /// Records the result of an attempt in the measurements of its host and of the load.
+    /// Records the result of an attempt in the measurements of its host and of the overall load.
     fn record_result(
         &mut self,
         attempt: &SentAttempt,
@@ -76,11 +76,11 @@
             return;
         }
         let ratio = match result.outcome {
-            // A rejecting host has no capacity, however fast it says so.
+            // A rejecting host has no capacity, however fast it rejects.
             Outcome::Rejected => 1.0,
             _ => objective_ratio(result.elapsed, context.class(attempt.class)),
         };
-        // A later answer was recorded when its objective was missed.
+        // A response past its objective was already recorded when the objective was missed.
         if matches!(result.outcome, Outcome::Rejected | Outcome::Good) && ratio <= 1.0 {
             self.record_objective_ratio(ratio, context);
         }
@@ -90,21 +90,23 @@
         }
     }
 
-    /// Adjusts the concurrency limit over all hosts and the admission ratio by an answer's time as a multiple of
-    /// its latency objective.
+    /// Adjusts the concurrency limit over all hosts and the admission ratio by a response time, given as a
+    /// multiple of its latency objective.
     pub(super) fn record_objective_ratio(&mut self, ratio: f64, context: &Context) {
         self.hosts.adjust_pool_limit(ratio, context);
         self.shedder.record_answer(ratio, context.now());
     }
 
-    /// An attempt that did not run does not restrict retries.
-    fn forget_first_run(&mut self, key: AttemptKey) {
+    /// Clears the first run of a request if it was this attempt: an attempt that did not run does not restrict
+    /// retries.
+    fn clear_first_run(&mut self, key: AttemptKey) {
         if let Some(request) = self.requests.get_mut(key.request) {
             request.first_run = request.first_run.filter(|run| run.attempt != key.attempt);
         }
     }
 
-    /// Corrects the count to the true units, up to the most that a request counts.
+    /// Corrects the customer's count to the request's actual units, up to the larger of `largest_request` and
+    /// the claimed units.
     fn settle_units(&mut self, id: RequestId, end: &AttemptEnd, context: &mut Context) {
         let units = &context.settings().units;
         let is_settled =
@@ -122,10 +124,10 @@
             .adjust(&claim, correction, Correction::Settlement, context);
     }
 
-    /// Gives the final answer of a request without an answer of a host: a rejection if the request had no effect
-    /// that a retry would repeat, else a failure.
+    /// Finishes a request that got no response from a host: rejects it if a retry would repeat no effect,
+    /// otherwise fails it. Cancels the attempt in flight, if cancellation is allowed.
     pub(super) fn finish(&mut self, id: RequestId, context: &mut Context) {
-        let Some(request) = self.close(id, context) else {
+        let Some(request) = self.remove_and_refund(id, context) else {
             return;
         };
         if request.state == RequestState::InFlight && context.settings().capabilities.cancel {
@@ -143,14 +145,17 @@
         });
     }
 
-    /// Handles the loss of a request's client: nothing is answered.
+    /// Handles a request whose client closed its connection: the request is removed without a response.
     pub(crate) fn on_abandoned(&mut self, id: RequestId, context: &mut Context) {
-        self.close(id, context);
+        self.remove_and_refund(id, context);
     }
 
-    /// Removes a request. The units of one that never ran are refunded, whether the limiter or the client ended
-    /// it.
-    fn close(&mut self, id: RequestId, context: &mut Context) -> Option<PendingRequest> {
+    /// Removes a request. Refunds its units if it never ran, whether the limiter or the client ended it.
+    fn remove_and_refund(
+        &mut self,
+        id: RequestId,
+        context: &mut Context,
+    ) -> Option<PendingRequest> {
         let request = self.requests.remove(id)?;
         if request.first_run.is_none() {
             self.refund(&request.claim, context);
@@ -159,7 +164,7 @@
     }
 }
 
-/// Whether a retry by the client, at any limiter, repeats no effect.
+/// Returns whether a retry by the client, at any limiter, would repeat no effect.
 fn is_retry_safe(request: &PendingRequest, class: &Class) -> bool {
     let is_deduplicated =
         class.effect == Effect::IdempotentWithKey && class.dedup_scope == DedupScope::All;
--- a/crates/decision/src/lifecycle/deadlines.rs
+++ b/crates/decision/src/lifecycle/deadlines.rs
@@ -1,4 +1,4 @@
-//! Deadlines of a request: its latency objective, and the latest moment of its final answer.
+//! Timers of a request: its latency objective and its deadline.
 
 use super::attempt::AttemptKey;
 use super::request::RequestState;
@@ -6,11 +6,11 @@
 use crate::api::RequestId;
 use crate::context::Context;
 
-/// A timer that is due more than this many ticks late shows that the limiter was paused.
+/// Delay of a timer above which the limiter is assumed to have been paused, in ticks.
 const MAX_TIMER_DELAY_TICKS: u64 = 2;
 
 impl RequestLifecycle {
-    /// Handles the latest moment of a request's final answer. A started stream has none.
+    /// Handles the deadline of a request, which does not apply to a response that is being streamed.
     pub(crate) fn on_deadline(&mut self, id: RequestId, context: &mut Context) {
         let Some(request) = self.requests.get(id) else {
             return;
@@ -20,14 +20,14 @@
         }
     }
 
-    /// Handles the latency objective of a request. An attempt in flight has missed it.
+    /// Handles the end of a request's latency objective, which an attempt still in flight has missed.
     pub(crate) fn on_latency_objective(&mut self, id: RequestId, context: &mut Context) {
         let Some(request) = self.requests.in_state(id, RequestState::InFlight) else {
             return;
         };
-        // An answer without weight is not waited for: the client is answered at once.
-        let is_worthless = context.class(request.class()).late_weight <= 0.0;
-        // A limiter that was paused gets its timers late, and hosts are not at fault for that.
+        // A late response without weight is not awaited: the client gets its final response immediately.
+        let has_no_late_weight = context.class(request.class()).late_weight <= 0.0;
+        // Timers also fire late after a pause of the limiter, which must not be attributed to the host.
         let max_delay = MAX_TIMER_DELAY_TICKS * context.settings().limiters.tick;
         let is_on_time = context.now() <= request.objective_deadline(context) + max_delay;
         let key = AttemptKey {
@@ -37,7 +37,7 @@
         if is_on_time {
             self.record_missed_objective(key, context);
         }
-        if is_worthless {
+        if has_no_late_weight {
             self.finish(id, context);
         }
     }
--- a/crates/decision/src/lifecycle/dispatch.rs
+++ b/crates/decision/src/lifecycle/dispatch.rs
@@ -1,4 +1,4 @@
-//! Dispatch of attempts.
+//! Dispatch: sends the attempts of admitted requests to hosts.
 
 use super::attempt::{AttemptKey, InFlightAttempt};
 use super::request::{FirstRun, PendingRequest, RequestState};
@@ -8,20 +8,20 @@
 use crate::context::Context;
 use crate::hosts::{HostRequirements, SentAttempt};
 
-/// Result of an attempt to dispatch a request.
+/// Result of dispatching a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Dispatch {
-    /// An attempt was sent, or the request has its final answer.
+    /// An attempt was sent, or the request already has its final response.
     Sent,
-    /// The customer's ceiling or cap, or the hosts of the request's dedup scope, have no capacity; other
-    /// requests may go.
+    /// The request must wait for its customer's ceiling or concurrency limit, its deduplication window or the
+    /// hosts of its deduplication scope. Other requests may be dispatched.
     RequestLimited,
     /// No host has capacity for any request.
     NoHost,
 }
 
 impl RequestLifecycle {
-    /// Dispatches an admitted request, or queues it if others are queued or it cannot be sent now.
+    /// Dispatches an admitted request, or queues it if others are queued or it cannot be sent yet.
     pub(super) fn admit(&mut self, id: RequestId, context: &mut Context) {
         self.requests.set_state(id, RequestState::Queued);
         if !self.queue.is_empty() || self.dispatch(id, context) != Dispatch::Sent {
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Sends the request's next attempt, if quota limits, deduplication window and hosts allow it now.
+    /// Sends the request's next attempt if quota limits, deduplication window and hosts allow it.
     pub(super) fn dispatch(&mut self, id: RequestId, context: &mut Context) -> Dispatch {
         let Some(request) = self.requests.get(id).cloned() else {
             return Dispatch::Sent;
@@ -57,8 +57,8 @@
         Dispatch::Sent
     }
 
-    /// Whether the customer's ceiling or cap, or the deduplication window, forbids an attempt now. Ceiling and
-    /// cap limit the first attempt only.
+    /// Returns whether the customer's ceiling or concurrency limit, or the deduplication window, forbids an
+    /// attempt. Ceiling and concurrency limit apply to the first attempt only.
     fn is_request_limited(&mut self, request: &PendingRequest, context: &Context) -> bool {
         let is_first = request.attempts == 0;
         if is_first && self.quotas.is_ceiling_exhausted(&request.claim, context) {
@@ -95,7 +95,7 @@
         };
         self.attempts.insert(key, in_flight);
         let location = self.hosts.begin_attempt(id, host, sent_at);
-        // Until its outcome proves otherwise, this attempt may be the first that ran.
+        // Until its outcome proves otherwise, this attempt may have run.
         let run = location.map(|location| FirstRun {
             attempt: key.attempt,
             location,
@@ -114,7 +114,8 @@
         });
     }
 
-    /// Charges an attempt to the customer's ceiling and cap, and to the retry budget.
+    /// Records an attempt for the customer's ceiling and concurrency limit. A first attempt also earns retry
+    /// budget.
     fn record_attempt_cost(&mut self, request: &PendingRequest, context: &Context) {
         if request.attempts == 0 {
             self.quotas.record_first_attempt(&request.claim, context);
--- a/crates/decision/src/lifecycle/queue.rs
+++ b/crates/decision/src/lifecycle/queue.rs
@@ -7,11 +7,11 @@
 #[cfg(test)]
 mod tests;
 
-/// Shortest interval between two looks at the queue.
+/// Minimum interval between two releases of the queue, in nanoseconds.
 const MIN_RELEASE_INTERVAL: u64 = 1_000_000;
 
-/// The ids of queued requests. Some may have left the state `Queued`; they are dropped at the next release.
-/// Invariant: at most one timer for the next release is set.
+/// Ids of queued requests. Some requests may have left the state `Queued`; they are dropped at the next
+/// release. Invariant: at most one timer for the next release is set.
 #[derive(Debug, Default)]
 pub(super) struct DispatchQueue {
     ids: VecDeque<RequestId>,
@@ -27,7 +27,7 @@
         self.ids.push_front(id);
     }
 
-    /// Removes and returns all ids in their order.
+    /// Removes and returns all ids in queue order.
     pub(super) fn take_all(&mut self) -> Vec<RequestId> {
         Vec::from(std::mem::take(&mut self.ids))
     }
@@ -40,7 +40,7 @@
         self.ids.len()
     }
 
-    /// Sets the timer for the next release, if requests wait and none is set.
+    /// Sets the timer for the next release, unless it is set already or the queue is empty.
     pub(super) fn set_timer(&mut self, context: &mut Context) {
         if self.is_timer_set || self.is_empty() {
             return;
@@ -50,7 +50,7 @@
         context.set_timer(Timer::ReleaseQueue, interval);
     }
 
-    /// Records that the timer is due.
+    /// Records that the timer has fired.
     pub(super) fn clear_timer(&mut self) {
         self.is_timer_set = false;
     }
--- a/crates/decision/src/lifecycle/queue/tests.rs
+++ b/crates/decision/src/lifecycle/queue/tests.rs
@@ -2,8 +2,8 @@
 use crate::api::{Action, RequestId, Settings, Timer};
 use crate::context::Context;
 
-/// The actions of a queue that sets its timer.
-fn actions_of(queue: &mut DispatchQueue) -> Vec<Action> {
+/// Calls `set_timer` and returns the resulting actions.
+fn set_timer_actions(queue: &mut DispatchQueue) -> Vec<Action> {
     let mut random = fastrand::Rng::with_seed(1);
     let mut actions = Vec::new();
     let settings = Settings::default();
@@ -13,7 +13,7 @@
 
 #[test]
 fn empty_queue_sets_no_timer() {
-    assert!(actions_of(&mut DispatchQueue::default()).is_empty());
+    assert!(set_timer_actions(&mut DispatchQueue::default()).is_empty());
 }
 
 #[test]
@@ -25,10 +25,10 @@
         after: MIN_RELEASE_INTERVAL,
     };
     let timer = [timer];
-    assert_eq!(actions_of(&mut queue), timer);
-    assert!(actions_of(&mut queue).is_empty());
+    assert_eq!(set_timer_actions(&mut queue), timer);
+    assert!(set_timer_actions(&mut queue).is_empty());
     queue.clear_timer();
-    assert_eq!(actions_of(&mut queue), timer);
+    assert_eq!(set_timer_actions(&mut queue), timer);
 }
 
 #[test]
--- a/crates/decision/src/lifecycle/request.rs
+++ b/crates/decision/src/lifecycle/request.rs
@@ -1,4 +1,4 @@
-//! Requests without a final answer.
+//! Pending requests: those without a final response.
 
 use crate::api::{AttemptIndex, ClassIndex, Nanos, PlanIndex, RequestId};
 use crate::context::Context;
@@ -6,20 +6,20 @@
 use crate::quota::QuotaClaim;
 use std::collections::BTreeMap;
 
-/// State of a request without a final answer.
+/// State of a pending request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum RequestState {
-    /// Waiting for the counter.
+    /// Waiting for the counter's reply.
     AwaitingCounter,
-    /// Admitted, waiting for a host, for the ceiling or for the cap on concurrent attempts.
+    /// Admitted; waiting for a host, for the customer's ceiling or for its limit on concurrent attempts.
     Queued,
     /// An attempt is in flight.
     InFlight,
-    /// A streamed answer has begun.
+    /// A streamed response has started.
     Streaming,
 }
 
-/// A request without a final answer.
+/// Request without a final response.
 #[derive(Clone, Debug)]
 pub(super) struct PendingRequest {
     pub(super) claim: QuotaClaim,
@@ -27,9 +27,9 @@
     pub(super) arrived_at: Nanos,
     pub(super) deadline: Nanos,
     pub(super) state: RequestState,
-    /// Number of attempts so far.
+    /// Number of attempts sent so far.
     pub(super) attempts: u32,
-    /// The first attempt that may have run.
+    /// The first attempt that may have run; `None` if none has.
     pub(super) first_run: Option<FirstRun>,
 }
 
@@ -42,19 +42,19 @@
         self.claim.plan
     }
 
-    /// The latest attempt; the request must have one.
+    /// Returns the index of the latest attempt. At least one attempt must have been sent.
     pub(super) fn latest_attempt(&self) -> AttemptIndex {
         AttemptIndex(self.attempts - 1)
     }
 
-    /// Time by which an answer meets the latency objective of the request's class.
+    /// Returns the latest time at which a response meets the latency objective of the request's class.
     pub(super) fn objective_deadline(&self, context: &Context) -> Nanos {
         let objective = context.class(self.class()).latency_objective;
         self.arrived_at.saturating_add(objective).min(self.deadline)
     }
 }
 
-/// The first attempt of a request that may have run.
+/// First attempt of a request that may have run.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct FirstRun {
     pub(super) attempt: AttemptIndex,
@@ -62,7 +62,7 @@
     pub(super) sent_at: Nanos,
 }
 
-/// The requests without a final answer, by their ids.
+/// Pending requests, by id.
 #[derive(Debug, Default)]
 pub(super) struct RequestTable {
     requests: BTreeMap<RequestId, PendingRequest>,
@@ -81,7 +81,7 @@
         self.requests.get_mut(&id)
     }
 
-    /// The request, if it is in a state.
+    /// Returns a request if it is in the given state.
     pub(super) fn in_state(&self, id: RequestId, state: RequestState) -> Option<&PendingRequest> {
         self.get(id).filter(|request| request.state == state)
     }
--- a/crates/decision/src/lifecycle/retry.rs
+++ b/crates/decision/src/lifecycle/retry.rs
@@ -1,4 +1,4 @@
-//! Retries: whether a failed attempt is followed by another one, and until when that one may begin.
+//! Retries: whether a failed attempt is retried, and how soon the retry must begin.
 
 use super::dispatch::Dispatch;
 use super::request::{PendingRequest, RequestState};
@@ -7,7 +7,7 @@
 use crate::context::Context;
 
 impl RequestLifecycle {
-    /// Retries a request after a failed attempt, or gives it its final answer.
+    /// Retries a request after a failed attempt, or finishes it.
     pub(super) fn retry_or_finish(
         &mut self,
         id: RequestId,
@@ -45,7 +45,8 @@
     }
 }
 
-/// How soon a further attempt must begin, given the one that may have run; zero: not at all.
+/// Returns the duration within which a further attempt must begin, given the attempt that may have run. Zero
+/// means that no further attempt is allowed.
 pub(super) fn begins_within(request: &PendingRequest, context: &Context) -> Nanos {
     let Some(run) = request.first_run else {
         return Nanos::MAX;
