--- a/crates/decision/src/lifecycle/dispatch.rs
+++ b/crates/decision/src/lifecycle/dispatch.rs
@@ -13,8 +13,8 @@
 pub(super) enum Dispatch {
     /// An attempt was sent, or the request already has its final response.
     Sent,
-    /// The request must wait for its customer's ceiling or concurrency limit, its deduplication window or the
-    /// hosts of its deduplication scope. Other requests may be dispatched.
+    /// The customer's ceiling or concurrency limit, an expired deduplication window, or the hosts of the
+    /// request's deduplication scope prevent an attempt. Other requests may be dispatched.
     RequestLimited,
     /// No host has capacity for any request.
     NoHost,
@@ -114,8 +114,8 @@
         });
     }
 
-    /// Records an attempt for the customer's ceiling and concurrency limit. A first attempt also earns retry
-    /// budget.
+    /// Records an attempt for the customer's ceiling and concurrency limit. Adds what a first attempt earns to
+    /// the retry budget, and caps the budget.
     fn record_attempt_cost(&mut self, request: &PendingRequest, context: &Context) {
         if request.attempts == 0 {
             self.quotas.record_first_attempt(&request.claim, context);
--- a/crates/decision/src/lifecycle/release.rs
+++ b/crates/decision/src/lifecycle/release.rs
@@ -16,7 +16,7 @@
 const MIN_REMAINING_LATENCIES: u64 = 3;
 /// Lower bound of a request's work, which is used as a divisor, in seconds.
 const MIN_WORK_SECONDS: f64 = 0.001;
-/// Lower bound of a request's weight rate, which is used as a divisor.
+/// Lower bound of a request's weight rate, which is used as a divisor, in priority weight per second of work.
 const MIN_WEIGHT_RATE: f64 = 1e-9;
 
 /// Capacity of the hosts during a release.
