--- a/crates/admin/src/class_indices.rs
+++ b/crates/admin/src/class_indices.rs
@@ -1,20 +1,21 @@
-//! Indices of classes and plans over reloads of the configuration.
+//! Indices of classes and plans across reloads of the configuration.
 //!
-//! Open requests carry an index, so the meaning of an index never changes while a request may carry it. A class that a
-//! reload leaves unchanged keeps its index, and with it the engine's measurements.
+//! Open requests carry indices, so an index refers to the same class or plan for as long as a request may carry it. A
+//! class that a reload leaves unchanged keeps its index, and with it the engine's measurements.
 
 use quartzcleat_decision::api::{Class, ClassIndex, Nanos, Plan, PlanIndex, Settings};
 
 #[cfg(test)]
 mod tests;
 
-/// How long a removed name is still accepted: its clients may not know of the removal yet.
-const ACCEPTED_AFTER_REMOVAL: Nanos = 1_200_000_000;
-/// How long after a request's deadline an attempt that was given up late may still carry its index.
-const IN_USE_AFTER_DEADLINE: Nanos = 1_000_000_000;
+/// Time for which a removed name is still accepted: clients may not know of the removal yet.
+const REMOVAL_GRACE: Nanos = 1_200_000_000;
+/// Time after a request's deadline for which an attempt that was abandoned late may still carry the request's index.
+const ABANDONED_ATTEMPT_GRACE: Nanos = 1_000_000_000;
 
-/// A class or plan: has a name, and may be the same after a reload.
+/// A class or plan, compared across reloads.
 trait Named: Clone + PartialEq {
+    /// Returns the name that requests refer to.
     fn name(&self) -> &str;
 }
 
@@ -30,10 +31,11 @@
     }
 }
 
+/// An item that has an index.
 #[derive(Clone, Debug)]
 struct Entry<T> {
     item: T,
-    /// When it was no longer in the configuration.
+    /// Time of the reload that removed the item, in nanoseconds of Unix time; `None` while it is configured.
     removed_at: Option<Nanos>,
 }
 
@@ -45,22 +47,22 @@
         }
     }
 
-    /// Until when its name is accepted.
+    /// Returns the time until which the item's name is accepted; [`Nanos::MAX`] while it is configured.
     fn accepted_until(&self) -> Nanos {
         self.removed_at.map_or(Nanos::MAX, |removed_at| {
-            removed_at.saturating_add(ACCEPTED_AFTER_REMOVAL)
+            removed_at.saturating_add(REMOVAL_GRACE)
         })
     }
 
-    /// Whether no request carries its index any more.
+    /// Whether no request carries the item's index any more.
     fn is_free(&self, now: Nanos, longest_deadline: Nanos) -> bool {
         self.removed_at.is_some_and(|removed_at| {
-            now >= removed_at.saturating_add(longest_deadline + IN_USE_AFTER_DEADLINE)
+            now >= removed_at.saturating_add(longest_deadline + ABANDONED_ATTEMPT_GRACE)
         })
     }
 }
 
-/// Classes or plans, by their indices.
+/// Classes or plans, by index.
 #[derive(Clone, Debug)]
 struct IndexTable<T> {
     entries: Vec<Entry<T>>,
@@ -73,12 +75,13 @@
         }
     }
 
-    /// All items that have an index, by their indices.
+    /// Returns all items that have an index, in the order of their indices.
     fn items(&self) -> Vec<T> {
         let entries = self.entries.iter();
         entries.map(|entry| entry.item.clone()).collect()
     }
 
+    /// Marks the items that are missing from `items` as removed, and gives each of `items` an index.
     fn update(&mut self, items: &[T], now: Nanos, longest_deadline: Nanos) {
         for entry in &mut self.entries {
             if entry.removed_at.is_none() && !items.contains(&entry.item) {
@@ -90,7 +93,7 @@
         }
     }
 
-    /// Gives an item the index that it had, a free one, or a new one.
+    /// Gives an item the index that it already has, or else a free or a new one.
     fn insert(&mut self, item: &T, now: Nanos, longest_deadline: Nanos) {
         let mut entries = self.entries.iter_mut();
         if let Some(same) = entries.find(|entry| entry.item == *item) {
@@ -104,10 +107,10 @@
         }
     }
 
-    /// The positions whose names are accepted, one for each name. An entry in force precedes one that was removed a
-    /// moment ago.
+    /// Returns the indices whose names are accepted, one for each name. A configured entry takes precedence over a
+    /// removed entry of the same name.
     fn accepted(&self, now: Nanos) -> impl Iterator<Item = usize> + use<'_, T> {
-        (0..self.entries.len()).filter(move |position| self.is_accepted(*position, now))
+        (0..self.entries.len()).filter(move |index| self.is_accepted(*index, now))
     }
 
     fn is_accepted(&self, index: usize, now: Nanos) -> bool {
@@ -121,16 +124,16 @@
     }
 }
 
-/// The indices whose names are accepted.
+/// Indices of the classes and plans whose names are accepted.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct AcceptedIndices {
-    /// Of classes.
+    /// Indices of classes, ascending.
     pub classes: Vec<ClassIndex>,
-    /// Of plans.
+    /// Indices of plans, ascending.
     pub plans: Vec<PlanIndex>,
 }
 
-/// The classes and plans that have an index.
+/// Assignment of indices to classes and plans, configured and recently removed.
 #[derive(Clone, Debug)]
 pub struct ClassIndices {
     classes: IndexTable<Class>,
@@ -138,7 +141,7 @@
 }
 
 impl ClassIndices {
-    /// Indices in the order of the first configuration.
+    /// Assigns indices in the order of the first configuration.
     #[must_use]
     pub fn new(settings: &Settings) -> Self {
         ClassIndices {
@@ -147,7 +150,7 @@
         }
     }
 
-    /// Applies new settings at a moment; returns them with all classes and plans that have an index in their places.
+    /// Applies new settings at `now`; returns them with all classes and plans that have an index, each at its index.
     pub fn apply(&mut self, settings: &Settings, now: Nanos) -> Settings {
         let entries = self.classes.entries.iter();
         let longest_deadline = entries.map(|entry| entry.item.deadline).max().unwrap_or(0);
@@ -161,7 +164,7 @@
         }
     }
 
-    /// The indices of the classes and plans whose names are accepted at a moment.
+    /// Returns the indices of the classes and plans whose names are accepted at `now`.
     #[must_use]
     pub fn accepted(&self, now: Nanos) -> AcceptedIndices {
         let classes = self.classes.accepted(now);
@@ -172,9 +175,9 @@
         }
     }
 
-    /// How long after a reload the names that it removed are accepted.
+    /// Returns the time for which names that a reload removed are still accepted.
     #[must_use]
-    pub fn accepted_after_removal() -> Nanos {
-        ACCEPTED_AFTER_REMOVAL
+    pub fn removal_grace() -> Nanos {
+        REMOVAL_GRACE
     }
 }
--- a/crates/admin/src/drain.rs
+++ b/crates/admin/src/drain.rs
@@ -1,5 +1,5 @@
-//! Whether clients are accepted: draining by an operator, and the shutdown at SIGTERM, in one state machine. Both go
-//! through the same phases, each from its own start, and the later phase of the two holds.
+//! State machine for draining by an operator and for the shutdown at SIGTERM. Both go through the same phases, each
+//! from its own start, and the later phase of the two holds.
 
 use quartzcleat_decision::api::Nanos;
 use serde::{Deserialize, Serialize};
@@ -7,7 +7,7 @@
 #[cfg(test)]
 mod tests;
 
-/// The phase of draining.
+/// Phase of draining or of a shutdown. Later phases compare greater.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
     /// All clients are served, and connections are kept.
@@ -19,57 +19,57 @@
     LastCall,
 }
 
-/// A phase, and when the next one begins.
+/// A phase, and the time at which the next one begins.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PhaseStatus {
-    /// The phase.
+    /// Phase at the time of the query.
     pub phase: Phase,
-    /// When the next phase begins, if one does.
+    /// Start of the next phase, in nanoseconds of Unix time; `None` if no further phase follows.
     pub next_at: Option<Nanos>,
 }
 
-/// How long after its start each phase of draining begins.
+/// Times at which the phases begin, in nanoseconds after the start of the draining or the shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DrainTimes {
-    /// Until then connections are kept: the load balancer in front still brings new ones.
-    pub linger: Nanos,
-    /// From then on new requests are rejected.
-    pub last_call: Nanos,
+    /// Time until [`Phase::Closing`]. Connections are kept until then: the load balancer in front still sends new ones.
+    pub drain_delay: Nanos,
+    /// Time until [`Phase::LastCall`].
+    pub reject_after: Nanos,
 }
 
-/// The latest operator command on draining.
+/// An operator's order to start or to stop draining.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DrainOrder {
-    /// Clients are to be drained.
+    /// Whether clients are to be drained.
     #[serde(rename = "on")]
     pub is_draining: bool,
-    /// When that was ordered; zero: never.
+    /// Time of the order, in nanoseconds of Unix time; 0 if there has been none.
     #[serde(rename = "at")]
     pub ordered_at: Nanos,
 }
 
-/// Whether an order of another process holds from now on.
+/// Result of merging another process's order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MergeOutcome {
-    /// It is later than the own one, and holds.
+    /// The other order is later than the own one, and replaces it.
     Adopted,
-    /// The own one is at least as late, and still holds.
+    /// The own order is at least as late, and still holds.
     Ignored,
 }
 
-/// Whether a later process of the limiter accepts the clients when this one shuts down.
+/// Whether a later process of the limiter accepts clients when this one shuts down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Successor {
-    /// There is one, and it accepts the clients.
+    /// There is a later process, and it accepts clients.
     Serving,
-    /// There is none, or it does not accept clients yet.
+    /// There is no later process, or it does not accept clients yet.
     None,
 }
 
-/// A shutdown that was asked for.
+/// A shutdown that has been requested.
 #[derive(Clone, Copy, Debug)]
 struct Shutdown {
-    asked_at: Nanos,
+    requested_at: Nanos,
     successor: Successor,
 }
 
@@ -82,7 +82,7 @@
 }
 
 impl DrainController {
-    /// All clients are served.
+    /// Creates the controller of a process that serves all clients.
     #[must_use]
     pub fn new(times: DrainTimes) -> Self {
         DrainController {
@@ -92,12 +92,12 @@
         }
     }
 
-    /// Starts draining; ordered again it changes nothing.
+    /// Starts draining. Has no effect if clients are being drained already.
     pub fn drain(&mut self, now: Nanos) {
         self.set_order(true, now);
     }
 
-    /// Stops draining; a shutdown that has started continues.
+    /// Stops draining. A shutdown that has started continues.
     pub fn undrain(&mut self, now: Nanos) {
         self.set_order(false, now);
     }
@@ -111,15 +111,15 @@
         }
     }
 
-    /// Starts the shutdown; the first call counts.
+    /// Starts the shutdown. Further calls have no effect.
     pub fn shut_down(&mut self, now: Nanos, successor: Successor) {
         self.shutdown.get_or_insert(Shutdown {
-            asked_at: now,
+            requested_at: now,
             successor,
         });
     }
 
-    /// Takes in another process's order; the later one holds.
+    /// Merges another process's order: the later of it and the own one holds.
     pub fn merge(&mut self, order: DrainOrder) -> MergeOutcome {
         if order.ordered_at > self.order.ordered_at {
             self.order = order;
@@ -129,7 +129,7 @@
         }
     }
 
-    /// The latest order on draining.
+    /// Returns the latest order on draining.
     #[must_use]
     pub fn order(&self) -> DrainOrder {
         self.order
@@ -147,14 +147,14 @@
         self.shutdown.is_some()
     }
 
-    /// Whether a successor accepted the clients already when the shutdown was asked for.
+    /// Whether a successor already accepted clients when the shutdown was requested.
     #[must_use]
     pub fn has_serving_successor(&self) -> bool {
         self.shutdown
             .is_some_and(|shutdown| shutdown.successor == Successor::Serving)
     }
 
-    /// The phase at a moment.
+    /// Returns the phase at `now`, and when the next one begins.
     #[must_use]
     pub fn status(&self, now: Nanos) -> PhaseStatus {
         let drain = self.drain_status(now);
@@ -170,7 +170,7 @@
 
     fn drain_status(&self, now: Nanos) -> PhaseStatus {
         if self.order.is_draining {
-            self.status_since(self.order.ordered_at, self.times.linger, now)
+            self.status_since(self.order.ordered_at, self.times.drain_delay, now)
         } else {
             PhaseStatus::default()
         }
@@ -180,17 +180,17 @@
         let Some(shutdown) = self.shutdown else {
             return PhaseStatus::default();
         };
-        let linger = match shutdown.successor {
+        let drain_delay = match shutdown.successor {
             Successor::Serving => 0,
-            Successor::None => self.times.linger,
+            Successor::None => self.times.drain_delay,
         };
-        self.status_since(shutdown.asked_at, linger, now)
+        self.status_since(shutdown.requested_at, drain_delay, now)
     }
 
-    fn status_since(&self, start: Nanos, linger: Nanos, now: Nanos) -> PhaseStatus {
-        let closing_at = start + linger;
-        let last_call_at = start + self.times.last_call;
-        if now >= last_call_at {
+    fn status_since(&self, start: Nanos, drain_delay: Nanos, now: Nanos) -> PhaseStatus {
+        let closing_at = start + drain_delay;
+        let rejecting_at = start + self.times.reject_after;
+        if now >= rejecting_at {
             PhaseStatus {
                 phase: Phase::LastCall,
                 next_at: None,
@@ -198,7 +198,7 @@
         } else if now >= closing_at {
             PhaseStatus {
                 phase: Phase::Closing,
-                next_at: Some(last_call_at),
+                next_at: Some(rejecting_at),
             }
         } else {
             PhaseStatus {
--- a/crates/admin/src/drain/tests.rs
+++ b/crates/admin/src/drain/tests.rs
@@ -1,21 +1,21 @@
-//! Orders and shutdowns that follow each other, at every phase.
+//! Tests of orders and shutdowns that follow each other, in every phase.
 
 use super::*;
 
 const TIMES: DrainTimes = DrainTimes {
-    linger: 6,
-    last_call: 20,
+    drain_delay: 6,
+    reject_after: 20,
 };
 
-/// Every pair of drain, undrain and shutdown, in its order, the second one at any phase of the first.
+/// Pairs of drain, undrain and shutdown in either sequence, with the second one in each phase of the first.
 #[test]
-fn each_pair_of_orders_leads_to_one_phase() {
+fn pairs_of_orders_lead_to_the_expected_phase() {
     use Phase::{Closing, LastCall, Serving};
-    type Order = fn(&mut DrainController, Nanos);
-    let drain: Order = DrainController::drain;
-    let undrain: Order = DrainController::undrain;
-    let shut_down: Order = |controller, at| controller.shut_down(at, Successor::None);
-    let hand_over: Order = |controller, at| controller.shut_down(at, Successor::Serving);
+    type Action = fn(&mut DrainController, Nanos);
+    let drain: Action = DrainController::drain;
+    let undrain: Action = DrainController::undrain;
+    let shut_down: Action = |controller, at| controller.shut_down(at, Successor::None);
+    let hand_over: Action = |controller, at| controller.shut_down(at, Successor::Serving);
     for (first, second, gap, at, phase, accepts_clients, is_shutting_down) in [
         (drain, drain, 10, 21, LastCall, false, false),
         (drain, undrain, 3, 30, Serving, true, false),
--- a/crates/admin/src/handoff.rs
+++ b/crates/admin/src/handoff.rs
@@ -1,5 +1,5 @@
-//! The handoff from the first process of a limiter to one that starts beside it: its endpoint list, in discovery's
-//! form, and a snapshot of its decision engine. It is read once; a text that cannot be read is ignored.
+//! The handoff from a process of a limiter to a later one that takes over: its endpoint list, in discovery's format,
+//! and a snapshot of its decision engine. It is read once; a text that cannot be parsed is ignored.
 
 use crate::stored::{check_header, LimiterIdentity, StoredError, FORMAT_VERSION};
 use quartzcleat_decision::EngineSnapshot;
@@ -9,22 +9,22 @@
 #[cfg(test)]
 mod tests;
 
-/// The handoff of one process.
+/// Endpoint list and engine snapshot that one process hands over to a later one.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Handoff {
     version: u32,
     name: String,
     listen: String,
-    /// Names of zones, by the indices that `learned` has for them.
+    /// Names of the zones, by the zone indices in `learned`.
     pub zones: Vec<String>,
-    /// The endpoint list.
+    /// Endpoint list, in discovery's format.
     pub list: Value,
-    /// The snapshot of the decision engine.
+    /// Snapshot of the decision engine.
     pub learned: EngineSnapshot,
 }
 
 impl Handoff {
-    /// The handoff of a process of a limiter.
+    /// Creates the handoff of a process of `limiter`.
     #[must_use]
     pub fn new(
         limiter: LimiterIdentity<'_>,
@@ -42,17 +42,17 @@
         }
     }
 
-    /// The handoff as JSON text.
+    /// Returns the handoff as JSON text.
     #[must_use]
     pub fn to_text(&self) -> String {
         // Strings, numbers, lists and JSON values always serialize.
         serde_json::to_string(self).unwrap_or_default()
     }
 
-    /// Parses the handoff of a process of this limiter.
+    /// Parses the handoff of a process of `limiter`.
     ///
     /// # Errors
-    /// The text is malformed, of another format, or another limiter's.
+    /// Returns an error if the text is malformed, has another format version, or is from another limiter.
     pub fn from_text(text: &str, limiter: LimiterIdentity<'_>) -> Result<Self, StoredError> {
         let handoff: Handoff = serde_json::from_str(text)?;
         let origin = LimiterIdentity {
--- a/crates/admin/src/handoff/tests.rs
+++ b/crates/admin/src/handoff/tests.rs
@@ -1,4 +1,4 @@
-//! Handoffs that are sound, incomplete, of another version or another limiter.
+//! Tests with handoffs that are valid, truncated, of another version or of another limiter.
 
 use super::*;
 use quartzcleat_decision::{HostSnapshot, LatencyScoreSnapshot};
@@ -29,7 +29,7 @@
     let handoff = Handoff::new(LIMITER, vec!["z".into()], list, learned);
     let text = handoff.to_text();
     let read = |text: &str, limiter| Handoff::from_text(text, limiter);
-    assert_eq!(read(&text, LIMITER).expect("sound"), handoff);
+    assert_eq!(read(&text, LIMITER).expect("valid"), handoff);
     let other_name = LimiterIdentity {
         name: "n2",
         ..LIMITER
--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -1,8 +1,8 @@
-//! Operator commands to a limiter, decided without sockets, files or a clock.
+//! Operator orders to a limiter, handled without sockets, files or a clock.
 //!
-//! The requests of the admin interface, the hosts in maintenance, draining, the indices of classes over reloads, and
-//! the messages between two processes of one limiter. Times are Unix time in nanoseconds, so that two processes on one
-//! machine agree on them.
+//! Covers the requests of the admin interface, hosts in maintenance, draining, the indices of classes and plans across
+//! reloads, and the messages between two processes of one limiter. Times are Unix time in nanoseconds, so that two
+//! processes on one machine agree on them.
 
 mod class_indices;
 mod drain;
--- a/crates/admin/src/maintenance.rs
+++ b/crates/admin/src/maintenance.rs
@@ -1,7 +1,7 @@
-//! Hosts that operators took out of service.
+//! Hosts that operators have taken out of service.
 //!
-//! An operator command overrides discovery: a host in maintenance is passed on as draining until it is enabled again,
-//! in whichever state discovery lists it. Of two processes' orders on one host the later one holds.
+//! An operator's order overrides discovery: a host in maintenance that discovery lists as ready is passed on as
+//! draining until it is enabled again. Of two processes' orders for one host the later one holds.
 
 use quartzcleat_decision::api::{HostEntry, HostState, Nanos};
 use serde::{Deserialize, Serialize};
@@ -11,49 +11,51 @@
 #[cfg(test)]
 mod tests;
 
-/// How many names of hosts that were listed are remembered; the oldest is forgotten first.
+/// Maximum number of host names that are recorded as listed, past which the oldest one is dropped.
 const MAX_LISTED_NAMES: usize = 16_384;
 
-/// The latest order on a host.
+/// An operator's order for one host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MaintenanceOrder {
-    /// The host is in maintenance.
+    /// Whether the host is in maintenance.
     #[serde(rename = "out")]
     pub is_disabled: bool,
-    /// When it was disabled last.
+    /// Time at which the host was last disabled, in nanoseconds of Unix time.
     #[serde(rename = "began")]
     pub disabled_at: Nanos,
-    /// When this was ordered.
+    /// Time of the order, in nanoseconds of Unix time.
     #[serde(rename = "at")]
     pub ordered_at: Nanos,
 }
 
-/// Whether an order changed the maintenance of its host.
+/// Whether an order changed whether its host is in maintenance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MaintenanceChange {
-    /// The maintenance began or ended.
+    /// The maintenance of the host began or ended.
     Changed,
-    /// The host was in that state already.
+    /// The host was already in the ordered state.
     Unchanged,
 }
 
-/// The host was never listed.
+/// Error for an order that names a host that was never listed.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 #[error("no host of this name was ever listed")]
 pub struct UnknownHost;
 
-/// The hosts listed so far, and the orders on them.
+/// Hosts that discovery has listed so far, and the latest order for each.
 #[derive(Clone, Debug, Default)]
 pub struct MaintenanceRegistry {
+    /// Names of the hosts listed so far.
     listed: BTreeSet<String>,
-    /// The names in `listed`, oldest first.
+    /// Names in `listed`, oldest first.
     listed_in_order: VecDeque<String>,
     orders: BTreeMap<String, MaintenanceOrder>,
+    /// Number that grows with every change.
     revision: u64,
 }
 
 impl MaintenanceRegistry {
-    /// Remembers that a host was listed.
+    /// Records that a host was listed.
     pub fn record_listed(&mut self, name: &str) {
         if self.listed.contains(name) {
             return;
@@ -67,7 +69,7 @@
         }
     }
 
-    /// Whether a host was listed at some time, or there is an order on it.
+    /// Whether a host is known: it was listed at some time, or there is an order for it.
     #[must_use]
     pub fn contains(&self, name: &str) -> bool {
         self.listed.contains(name) || self.orders.contains_key(name)
@@ -76,7 +78,7 @@
     /// Takes a host out of service.
     ///
     /// # Errors
-    /// It was never listed.
+    /// Returns an error if the host is not known.
     pub fn disable(&mut self, name: &str, now: Nanos) -> Result<MaintenanceChange, UnknownHost> {
         if !self.contains(name) {
             return Err(UnknownHost);
@@ -96,10 +98,10 @@
         Ok(MaintenanceChange::Changed)
     }
 
-    /// Puts a host back into service. One order ends any number of orders to disable it.
+    /// Puts a host back into service. One call undoes any number of calls to [`disable`](Self::disable).
     ///
     /// # Errors
-    /// It was never listed.
+    /// Returns an error if the host is not known.
     pub fn enable(&mut self, name: &str, now: Nanos) -> Result<MaintenanceChange, UnknownHost> {
         match self.orders.get_mut(name) {
             Some(order) if order.is_disabled => {
@@ -120,10 +122,10 @@
         self.orders.get(name).is_some_and(|order| order.is_disabled)
     }
 
-    /// A host's entry with the order on it applied.
+    /// Returns a host's entry in the endpoint list with the order for the host applied.
     ///
-    /// A host that was restarted during its maintenance is cold, although discovery may not have its new start yet: it
-    /// counts as started when it was enabled.
+    /// A host may have been restarted during its maintenance, and so be cold, before discovery lists its new start.
+    /// Until then it counts as started when it was enabled.
     #[must_use]
     pub fn apply(&self, name: &str, entry: &HostEntry) -> HostEntry {
         let mut entry = entry.clone();
@@ -139,12 +141,13 @@
         entry
     }
 
-    /// Takes in another process's orders; returns the hosts whose order changed.
+    /// Merges another process's orders, of which later ones replace the own; returns the names of the hosts whose order
+    /// changed.
     pub fn merge(&mut self, orders: &BTreeMap<String, MaintenanceOrder>) -> Vec<String> {
         let mut changed = Vec::new();
         for (name, order) in orders {
-            let held = self.orders.get(name);
-            if held.is_none_or(|held| held.ordered_at < order.ordered_at) {
+            let own = self.orders.get(name);
+            if own.is_none_or(|own| own.ordered_at < order.ordered_at) {
                 self.orders.insert(name.clone(), *order);
                 self.revision += 1;
                 changed.push(name.clone());
@@ -153,19 +156,19 @@
         changed
     }
 
-    /// A number that grows with every change.
+    /// Returns a number that grows with every change.
     #[must_use]
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// The latest order on each host.
+    /// Returns the latest order for each host, by host name.
     #[must_use]
     pub fn orders(&self) -> &BTreeMap<String, MaintenanceOrder> {
         &self.orders
     }
 
-    /// The names of hosts listed so far, oldest first.
+    /// Returns the names of the hosts listed so far, oldest first.
     pub fn listed_names(&self) -> impl Iterator<Item = &String> {
         self.listed_in_order.iter()
     }
--- a/crates/admin/src/maintenance/tests.rs
+++ b/crates/admin/src/maintenance/tests.rs
@@ -1,4 +1,4 @@
-//! Orders that override discovery, their merge and their bound.
+//! Tests of orders that override discovery, of their merging, and of the bound on recorded names.
 
 use super::*;
 use quartzcleat_decision::api::HostId;
@@ -44,12 +44,12 @@
         registry.apply("s", &entry(HostState::Ready, 12)),
         entry(HostState::Ready, 12)
     );
-    // Until discovery lists its restart it counts as started when it was enabled.
+    // Until discovery lists the host's restart, the host counts as started when it was enabled.
     assert_eq!(registry.apply("s", &entry(HostState::Ready, 5)).started, 20);
 }
 
 #[test]
-fn later_order_of_two_processes_holds_in_either_order_of_arrival() {
+fn later_order_of_two_processes_holds_whichever_arrives_first() {
     let mut one = MaintenanceRegistry::default();
     let mut two = MaintenanceRegistry::default();
     one.record_listed("s");
--- a/crates/admin/src/request.rs
+++ b/crates/admin/src/request.rs
@@ -1,4 +1,4 @@
-//! The requests of the admin interface: method, path and body parsed into a typed request, or the error in them.
+//! Requests of the admin interface: method, path and body are parsed into a typed request.
 
 use serde_json::Value;
 use thiserror::Error;
@@ -6,84 +6,84 @@
 #[cfg(test)]
 mod tests;
 
-/// A request of an operator, or of the program that starts the process.
+/// Request of an operator, or of the program that starts the process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AdminRequest {
-    /// Whether this process accepts clients.
+    /// Query whether this process accepts clients.
     Ready,
-    /// Take a host out of service, by discovery's id.
+    /// Take the host with this name, its id in discovery, out of service.
     Disable(String),
-    /// Put a host back into service.
+    /// Put the host with this name back into service.
     Enable(String),
-    /// Drain the clients.
+    /// Start draining the clients.
     Drain,
     /// Stop draining.
     Undrain,
 }
 
-/// Why a request is refused; the text says how to make a sound one.
+/// Reason why a request is refused. The message says how to make a valid one.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum RequestError {
-    /// The bytes are no HTTP request.
+    /// The bytes are not an HTTP/1.1 request.
     #[error("this is no HTTP/1.1; send a request line and headers")]
-    NotHttp,
+    MalformedHttp,
     /// The head is longer than allowed.
     #[error("the call is too long; send a head and a body of a few hundred bytes")]
     HeadTooLong,
-    /// The body is sent in chunks.
+    /// The body is sent with a `Transfer-Encoding`, which is not supported.
     #[error("send the body with a Content-Length")]
-    ChunkedBody,
-    /// The length of the body is no number.
+    TransferEncoding,
+    /// The `Content-Length` is not a non-negative integer.
     #[error("Content-Length is no number")]
-    LengthNotNumber,
+    InvalidContentLength,
     /// The body is longer than allowed.
     #[error("the body is too long; send {{\"host\":\"ID\"}}")]
     BodyTooLong,
     /// The request did not arrive completely in time.
     #[error("the call did not end in time; send it at once")]
     Timeout,
-    /// The path is not one of the interface's.
+    /// The interface has no such path.
     #[error("the paths are /ready, /servers/disable, /servers/enable, /drain, /undrain")]
     UnknownPath,
-    /// The path is for GET.
+    /// The path accepts GET only.
     #[error("use GET for /ready")]
     GetOnly,
-    /// The path is for PUT.
+    /// The path accepts PUT only.
     #[error("use PUT for this path")]
     PutOnly,
     /// The body is not JSON.
     #[error("the body is not JSON; send {{\"host\":\"ID\"}}")]
     BodyNotJson,
-    /// The host is no text, or an empty one.
+    /// The value of `host` is not a string, or is empty.
     #[error("host is no text with an id in it; send {{\"host\":\"ID\"}}")]
-    HostNotText,
-    /// The body names no host.
+    InvalidHost,
+    /// The body has no key `host`.
     #[error("host is missing; send {{\"host\":\"ID\"}}")]
     HostMissing,
 }
 
 impl RequestError {
-    /// The HTTP status of the answer.
+    /// Returns the HTTP status of the response.
     #[must_use]
     pub fn status(&self) -> u16 {
         match self {
-            RequestError::NotHttp
-            | RequestError::ChunkedBody
-            | RequestError::LengthNotNumber
+            RequestError::MalformedHttp
+            | RequestError::TransferEncoding
+            | RequestError::InvalidContentLength
             | RequestError::BodyNotJson => 400,
             RequestError::UnknownPath => 404,
             RequestError::GetOnly | RequestError::PutOnly => 405,
             RequestError::Timeout => 408,
             RequestError::HeadTooLong | RequestError::BodyTooLong => 413,
-            RequestError::HostNotText | RequestError::HostMissing => 422,
+            RequestError::InvalidHost | RequestError::HostMissing => 422,
         }
     }
 }
 
-/// Parses a request.
+/// Parses a request. A query string in `path` is ignored.
 ///
 /// # Errors
-/// The path, the method or the body is not one of the interface's; the request then changes nothing.
+/// Returns an error if the interface has no such path, the path does not accept the method, or the body is invalid.
 pub fn parse_request(method: &str, path: &str, body: &[u8]) -> Result<AdminRequest, RequestError> {
     let path = path.split('?').next().unwrap_or_default();
     check_method(method, path)?;
@@ -112,7 +112,7 @@
     let body: Value = serde_json::from_slice(body).map_err(|_| RequestError::BodyNotJson)?;
     match body.get("host") {
         Some(Value::String(id)) if !id.is_empty() => Ok(id.clone()),
-        Some(_) => Err(RequestError::HostNotText),
+        Some(_) => Err(RequestError::InvalidHost),
         None => Err(RequestError::HostMissing),
     }
 }
--- a/crates/admin/src/request/tests.rs
+++ b/crates/admin/src/request/tests.rs
@@ -1,9 +1,9 @@
-//! Requests of the interface, and others that are refused.
+//! Tests with valid requests, and with requests that are refused.
 
 use super::*;
 
 #[test]
-fn requests_of_the_interface_are_parsed_and_others_refused() {
+fn valid_requests_are_parsed_and_others_refused() {
     let id = br#"{"host":"s-1"}"#;
     for (method, path, body, expected) in [
         ("GET", "/ready", &b""[..], Ok(AdminRequest::Ready)),
@@ -30,9 +30,9 @@
         ("PUT", "/servers/enable", b"{\"host\":7}", Err(422)),
         ("PUT", "/servers/enable", b"{\"host\":\"\"}", Err(422)),
     ] {
-        let read = parse_request(method, path, body);
+        let result = parse_request(method, path, body);
         assert_eq!(
-            read.map_err(|error| error.status()),
+            result.map_err(|error| error.status()),
             expected,
             "{method} {path}"
         );
--- a/crates/admin/src/shared_state.rs
+++ b/crates/admin/src/shared_state.rs
@@ -1,7 +1,7 @@
 //! The state that a process shares with the other process of its limiter.
 //!
-//! While a new version takes over, both processes serve, and an operator command to either holds for both. A text that
-//! cannot be read is no state, and never stops a start.
+//! While a new version takes over, both processes serve, and an operator's order to either holds for both. A text that
+//! cannot be parsed is ignored, and never prevents a process from starting.
 
 use crate::drain::DrainOrder;
 use crate::maintenance::MaintenanceOrder;
@@ -13,42 +13,42 @@
 #[cfg(test)]
 mod tests;
 
-/// The state that one process publishes.
+/// State that one process publishes.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SharedState {
-    /// [`FORMAT_VERSION`](crate::FORMAT_VERSION).
+    /// Version of the format, see [`FORMAT_VERSION`](crate::FORMAT_VERSION).
     pub version: u32,
-    /// The limiter's name.
+    /// Name of the limiter.
     pub name: String,
-    /// Where it listens for clients.
+    /// Address on which it accepts clients.
     pub listen: String,
-    /// When the process started, in Unix time.
+    /// Start of the process, in nanoseconds of Unix time.
     #[serde(rename = "born")]
     pub started_at: Nanos,
-    /// The process accepts clients.
+    /// Whether the process accepts clients.
     #[serde(rename = "serving")]
     pub is_serving: bool,
-    /// The latest order on draining.
+    /// Latest order on draining.
     pub drain: DrainOrder,
-    /// The latest order on each host.
+    /// Latest maintenance order for each host, by host name.
     #[serde(rename = "words")]
     pub maintenance: BTreeMap<String, MaintenanceOrder>,
-    /// Hosts that were listed at some time.
+    /// Names of the hosts that are recorded as listed, oldest first.
     pub listed: Vec<String>,
 }
 
 impl SharedState {
-    /// The state as JSON text.
+    /// Returns the state as JSON text.
     #[must_use]
     pub fn to_text(&self) -> String {
         // Strings, numbers and maps with string keys always serialize.
         serde_json::to_string(self).unwrap_or_default()
     }
 
-    /// Parses the state that a process of this limiter published.
+    /// Parses the state that a process of `limiter` published.
     ///
     /// # Errors
-    /// The text is malformed, of another format, or another limiter's.
+    /// Returns an error if the text is malformed, has another format version, or is from another limiter.
     pub fn from_text(text: &str, limiter: LimiterIdentity<'_>) -> Result<Self, StoredError> {
         let state: SharedState = serde_json::from_str(text)?;
         let origin = LimiterIdentity {
--- a/crates/admin/src/shared_state/tests.rs
+++ b/crates/admin/src/shared_state/tests.rs
@@ -1,4 +1,4 @@
-//! States that are sound, incomplete, of another version or another limiter.
+//! Tests with states that are valid, truncated, of another version or of another limiter.
 
 use super::*;
 use crate::FORMAT_VERSION;
@@ -28,7 +28,7 @@
     let state = state();
     let text = state.to_text();
     let read = |text: &str, limiter| SharedState::from_text(text, limiter);
-    assert_eq!(read(&text, LIMITER).expect("sound"), state);
+    assert_eq!(read(&text, LIMITER).expect("valid"), state);
     let other_name = LimiterIdentity {
         name: "n2",
         ..LIMITER
@@ -48,7 +48,7 @@
     assert!(read(&newer.to_text(), LIMITER).is_err());
 }
 
-/// The keys are read by the version before this one.
+/// The previous version of the program reads these keys while a new version takes over.
 #[test]
 fn stored_keys_are_unchanged() {
     assert_eq!(
--- a/crates/admin/src/stored.rs
+++ b/crates/admin/src/stored.rs
@@ -1,39 +1,39 @@
-//! The header of the texts that processes of a limiter store for each other.
+//! The header of the texts that processes of one limiter store for each other.
 
 use thiserror::Error;
 
-/// The version of the format that is written. Only this version is read.
+/// Version of the stored format. Texts of any other version are ignored.
 pub const FORMAT_VERSION: u32 = 1;
 
-/// Which limiter a process belongs to.
+/// Identity of the limiter that a process belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LimiterIdentity<'a> {
-    /// The limiter's name.
+    /// Name of the limiter.
     pub name: &'a str,
-    /// Where it listens for clients.
+    /// Address on which it accepts clients.
     pub listen: &'a str,
 }
 
-/// Why a stored text is ignored.
+/// Reason why a stored text is ignored.
 #[derive(Debug, Error)]
 pub enum StoredError {
-    /// The text is cut or malformed.
+    /// The text is truncated or malformed.
     #[error("cannot be read: {0}")]
     Malformed(#[from] serde_json::Error),
-    /// The text has another format.
+    /// The text has another version of the format.
     #[error("form {0} is not known here, only {FORMAT_VERSION}")]
     UnknownVersion(u32),
-    /// The text is another limiter's.
+    /// The text is from a process of another limiter.
     #[error("it is of {name} at {listen}")]
     OtherLimiter {
-        /// The name of that limiter.
+        /// Name of that limiter.
         name: String,
-        /// Where that limiter listens.
+        /// Address on which that limiter accepts clients.
         listen: String,
     },
 }
 
-/// Checks that a text has the known format and comes from a process of this limiter.
+/// Checks that a text has the supported format version and that its `origin` is the `expected` limiter.
 pub(crate) fn check_header(
     version: u32,
     origin: LimiterIdentity<'_>,
--- a/src/net/admin/http.rs
+++ b/src/net/admin/http.rs
@@ -1,17 +1,17 @@
-//! HTTP/1.1 of the admin interface: one request to a connection.
+//! HTTP/1.1 parsing and encoding for the admin interface: one request per connection.
 
 use quartzcleat_admin::{parse_request, AdminRequest, RequestError};
 use serde_json::json;
 
-/// The most headers of a request.
+/// Maximum number of headers of a request.
 const MAX_HEADERS: usize = 64;
 
-/// Parses the request in `bytes`; `None` where it is incomplete. Head and body are `max_bytes` long at most each.
+/// Parses the request in `bytes`; returns `None` if it is incomplete. Head and body may be `max_bytes` long each.
 pub(super) fn parse(bytes: &[u8], max_bytes: usize) -> Option<Result<AdminRequest, RequestError>> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
     let head_length = match head.parse(bytes) {
-        Err(_) => return Some(Err(RequestError::NotHttp)),
+        Err(_) => return Some(Err(RequestError::MalformedHttp)),
         Ok(httparse::Status::Partial) if bytes.len() > max_bytes => {
             return Some(Err(RequestError::HeadTooLong));
         }
@@ -33,10 +33,10 @@
     let mut length = 0;
     for header in headers {
         if header.name.eq_ignore_ascii_case("transfer-encoding") {
-            return Err(RequestError::ChunkedBody);
+            return Err(RequestError::TransferEncoding);
         }
         if header.name.eq_ignore_ascii_case("content-length") {
-            length = parse_length(header.value).ok_or(RequestError::LengthNotNumber)?;
+            length = parse_length(header.value).ok_or(RequestError::InvalidContentLength)?;
         }
     }
     Ok(length)
@@ -46,7 +46,7 @@
     std::str::from_utf8(value).ok()?.trim().parse().ok()
 }
 
-/// A response with a status and one sentence.
+/// Encodes a response with a status and a one-sentence text.
 pub(super) fn encode(status: u16, text: &str) -> String {
     let body = json!({ "ok": status < 300, "text": text }).to_string();
     let reason = reason(status);
--- a/src/net/admin/mod.rs
+++ b/src/net/admin/mod.rs
@@ -1,7 +1,7 @@
-//! The admin interface: HTTP/1.1, one request to a connection, for operators and for the program that starts the
+//! The admin interface: HTTP/1.1, one request per connection, for operators and for the program that starts the
 //! process.
 //!
-//! Requests are parsed by `quartzcleat-admin`, and carried out here.
+//! Requests are parsed by `quartzcleat-admin` and executed here.
 
 mod http;
 
@@ -21,20 +21,20 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, timeout};
 
-/// The parts that requests to the admin interface read and change.
+/// Components that requests to the admin interface read and change.
 pub struct AdminContext {
-    /// Sizes, counts and times.
+    /// Limits of the process.
     limits: Rc<Limits>,
-    /// Puts hosts into maintenance, and knows which were ever listed.
+    /// Puts hosts into maintenance, and records which hosts were ever listed.
     discovery: Rc<DiscoveryClient>,
-    /// Drains the clients.
+    /// Starts and stops draining.
     shutdown: Rc<Shutdown>,
     /// Publishes each change to the other process of this limiter.
     hot_restart: Rc<HotRestart>,
 }
 
 impl AdminContext {
-    /// The context of a limiter's admin interface.
+    /// Creates the context of a limiter's admin interface.
     pub fn new(
         limits: &Rc<Limits>,
         discovery: &Rc<DiscoveryClient>,
@@ -50,12 +50,12 @@
     }
 }
 
-/// The answer to a request.
+/// Response to a request.
 #[derive(Debug)]
 struct Response {
-    /// The HTTP status.
+    /// HTTP status code.
     status: u16,
-    /// One sentence.
+    /// One sentence for the operator.
     text: String,
 }
 
@@ -74,19 +74,19 @@
     }
 }
 
-/// Accepts callers for good. Past the limit the oldest caller is dropped, so that callers that never finish a request
-/// cannot keep others out.
+/// Accepts connections until the task is dropped. Past the limit the oldest connection is closed, so that clients that
+/// never finish a request cannot keep others out.
 pub async fn accept(context: Rc<AdminContext>, listener: TcpListener) {
-    let mut callers: VecDeque<JoinHandle<()>> = VecDeque::new();
+    let mut connections: VecDeque<JoinHandle<()>> = VecDeque::new();
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                callers.retain(|caller| !caller.is_finished());
-                while callers.len() >= context.limits.admin.max_connections {
-                    callers.pop_front().inspect(JoinHandle::abort);
+                connections.retain(|connection| !connection.is_finished());
+                while connections.len() >= context.limits.admin.max_connections {
+                    connections.pop_front().inspect(JoinHandle::abort);
                 }
-                let caller = serve(context.clone(), stream);
-                callers.push_back(tokio::task::spawn_local(caller));
+                let connection = serve(context.clone(), stream);
+                connections.push_back(tokio::task::spawn_local(connection));
             }
             Err(error) => {
                 tracing::warn!(%error, "admin connection not accepted");
@@ -97,24 +97,24 @@
 }
 
 async fn serve(context: Rc<AdminContext>, mut stream: TcpStream) {
-    let caller_time = context.limits.admin.request_timeout;
+    let request_timeout = context.limits.admin.request_timeout;
     let request = read_request(&mut stream, context.limits.admin.max_request_bytes);
-    let response = match timeout(caller_time, request).await {
+    let response = match timeout(request_timeout, request).await {
         Err(_) => RequestError::Timeout.into(),
-        // The caller has gone, or never sent a whole request.
+        // The client disconnected before it had sent a complete request.
         Ok(None) => return,
         Ok(Some(Err(error))) => error.into(),
         Ok(Some(Ok(request))) => {
             wait_for_first_list(&context, &request).await;
-            carry_out(&context, request)
+            execute(&context, request)
         }
     };
     let response = http::encode(response.status, &response.text);
-    // A caller that does not take its response in time has had it.
-    let _ = timeout(caller_time, respond(&mut stream, &response)).await;
+    // A client that does not read its response within the timeout is disconnected.
+    let _ = timeout(request_timeout, respond(&mut stream, &response)).await;
 }
 
-/// Reads one request; `None` where the caller has gone before its end.
+/// Reads one request; returns `None` if the client disconnects before its end.
 async fn read_request(
     stream: &mut TcpStream,
     max_bytes: usize,
@@ -130,34 +130,35 @@
     }
 }
 
-/// Writes the response and ends the connection. Unread bytes of the request are read first: they would reset the
-/// connection, and the reset could overtake the response.
+/// Writes the response and closes the connection. Remaining bytes of the request are read before the socket is closed:
+/// unread, they would cause a reset, which could overtake the response.
 async fn respond(stream: &mut TcpStream, response: &str) {
-    // A caller that has gone needs no response.
+    // A write error means that the client has disconnected and needs no response.
     let _ = stream.write_all(response.as_bytes()).await;
     let _ = stream.shutdown().await;
     let mut unread = [0; 512];
     while stream.read(&mut unread).await.is_ok_and(|count| count > 0) {}
 }
 
-/// Waits for discovery's first list where a request names a host that is not known yet: an operator may be quicker than
-/// the list, and a host on it was listed.
+/// Waits for discovery's first list if a request names a host that is not known yet: an operator's request may arrive
+/// before the list, and the host may be on it.
 async fn wait_for_first_list(context: &AdminContext, request: &AdminRequest) {
     let (AdminRequest::Disable(name) | AdminRequest::Enable(name)) = request else {
         return;
     };
-    let is_decided = || context.discovery.has_listed(name) || context.discovery.has_answered();
+    let is_listing_known =
+        || context.discovery.has_listed(name) || context.discovery.has_answered();
     let wait = async {
-        while !is_decided() {
+        while !is_listing_known() {
             sleep(context.limits.requests.deadline_margin).await;
         }
     };
-    // Past the time the request is answered by the hosts listed so far.
+    // After the timeout the request is answered according to the hosts listed so far.
     let _ = timeout(context.limits.admin.first_list_timeout, wait).await;
 }
 
-/// Carries out a request.
-fn carry_out(context: &AdminContext, request: AdminRequest) -> Response {
+/// Executes a request and returns the response to it.
+fn execute(context: &AdminContext, request: AdminRequest) -> Response {
     match request {
         AdminRequest::Ready => readiness(context),
         AdminRequest::Disable(name) => disable(context, &name),
@@ -193,7 +194,7 @@
         Ok(MaintenanceChange::Unchanged) => {}
         Ok(MaintenanceChange::Changed) => {
             tracing::info!(host = name, "maintenance started by an operator");
-            announce_maintenance(context, name);
+            publish_maintenance(context, name);
         }
     }
     Response::new(200, format!("{name} gets nothing new until it is enabled"))
@@ -205,13 +206,13 @@
         Ok(MaintenanceChange::Unchanged) => {}
         Ok(MaintenanceChange::Changed) => {
             tracing::info!(host = name, "maintenance ended by an operator");
-            announce_maintenance(context, name);
+            publish_maintenance(context, name);
         }
     }
     Response::new(200, format!("{name} may serve"))
 }
 
-fn announce_maintenance(context: &AdminContext, name: &str) {
+fn publish_maintenance(context: &AdminContext, name: &str) {
     context.discovery.reapply_maintenance(name);
     context.hot_restart.publish();
 }
--- a/src/net/admin/tests.rs
+++ b/src/net/admin/tests.rs
@@ -1,30 +1,30 @@
-//! Requests that are incomplete, malformed, or earlier than the first list.
+//! Tests with requests that are incomplete, malformed, or earlier than discovery's first list.
 
 use super::*;
 
-/// A request on a host waits for discovery's first list: only then it is known whether the host was ever listed.
+/// A request for a host waits for discovery's first list: only then is it known whether the host was ever listed.
 #[test]
 fn host_request_waits_for_the_first_list() {
-    let console = [("\"listen\"", "\"console\": \"127.0.0.1:9\", \"listen\"")];
-    crate::net::tests::with_limiter(&console, |limiter| async move {
-        let call = AdminRequest::Disable("s-1".to_owned());
+    let replacements = [("\"listen\"", "\"console\": \"127.0.0.1:9\", \"listen\"")];
+    crate::net::tests::with_limiter(&replacements, |limiter| async move {
+        let request = AdminRequest::Disable("s-1".to_owned());
         let began = tokio::time::Instant::now();
-        wait_for_first_list(limiter.admin(), &call).await;
+        wait_for_first_list(limiter.admin(), &request).await;
         assert!(began.elapsed() >= limiter.limits().admin.first_list_timeout);
         assert_eq!(
-            carry_out(limiter.admin(), call.clone()).status,
+            execute(limiter.admin(), request.clone()).status,
             503,
             "no list was received"
         );
-        let listing = limiter.clone();
+        let listing_limiter = limiter.clone();
         tokio::task::spawn_local(async move {
-            sleep(listing.limits().requests.deadline_margin).await;
-            crate::net::discovery::tests::apply_serving_host(listing.discovery(), "s-1");
+            sleep(listing_limiter.limits().requests.deadline_margin).await;
+            crate::net::discovery::tests::apply_serving_host(listing_limiter.discovery(), "s-1");
         });
-        wait_for_first_list(limiter.admin(), &call).await;
-        assert_eq!(carry_out(limiter.admin(), call).status, 200);
+        wait_for_first_list(limiter.admin(), &request).await;
+        assert_eq!(execute(limiter.admin(), request).status, 200);
         assert_eq!(
-            carry_out(limiter.admin(), AdminRequest::Enable("s-2".to_owned())).status,
+            execute(limiter.admin(), AdminRequest::Enable("s-2".to_owned())).status,
             404
         );
     });
--- a/src/net/config/error.rs
+++ b/src/net/config/error.rs
@@ -1,22 +1,22 @@
-//! Why a configuration is rejected.
+//! The error for a rejected configuration.
 
 use quartzcleat_config::platform::{FlattenError, PairFault};
 use quartzcleat_config::replacement::ReplacementFault;
 use serde_json::Value;
 use std::fmt::Display;
 
-/// A configuration is rejected. The text names the key.
+/// Reason why a configuration is rejected. Its message names the key.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// The environment names no file.
+    /// The variable `BALANCER_CONFIG`, which names the file, is not set.
     #[error("BALANCER_CONFIG: not set")]
-    FileNotNamed,
+    FileNotSpecified,
     /// The file cannot be read.
     #[error("BALANCER_CONFIG: cannot read {path}: {source}")]
     UnreadableFile {
-        /// The path that the environment names.
+        /// Path from `BALANCER_CONFIG`.
         path: String,
-        /// The cause.
+        /// Underlying I/O error.
         source: std::io::Error,
     },
     /// The file is not JSON.
@@ -25,80 +25,80 @@
     /// A replacement lacks parts of the configuration in force.
     #[error("{}", join(faults))]
     InvalidReplacement {
-        /// All that is wrong with it.
+        /// Every fault found in the replacement.
         faults: Vec<ReplacementFault>,
     },
     /// A required key is missing.
     #[error("{key}: missing")]
     Missing {
-        /// The key.
+        /// Missing key.
         key: &'static str,
     },
-    /// An address cannot be parsed.
+    /// An address is not of the form `IP:PORT`.
     #[error("{key}: {text:?} is not an address with a port")]
     InvalidAddress {
-        /// The key.
+        /// Key of the address.
         key: &'static str,
-        /// Its value.
+        /// Text that cannot be parsed.
         text: String,
     },
-    /// A count is not a whole number from 0 up.
+    /// A count is not a non-negative integer.
     #[error("{key}: {value} is not a count")]
     InvalidCount {
-        /// The key.
+        /// Key of the count.
         key: &'static str,
-        /// Its value.
+        /// Value in the file.
         value: Value,
     },
-    /// A list of names has another member.
+    /// A list of names has a member that is not a string.
     #[error("settings.{key}: {value} is not a name")]
     InvalidName {
-        /// The key of the list.
+        /// Key of the list, relative to `settings`.
         key: &'static str,
-        /// The member.
+        /// Member that is not a string.
         value: Value,
     },
-    /// A list of names is no list.
+    /// A list of names is not an array.
     #[error("settings.{key}: {value} is not a list of names")]
     InvalidNameList {
-        /// The key.
+        /// Key of the list, relative to `settings`.
         key: &'static str,
-        /// Its value.
+        /// Value in the file.
         value: Value,
     },
-    /// The time for which hosts keep idle connections is not a number.
+    /// The time for which hosts keep idle connections is not an integer of nanoseconds.
     #[error("settings.limits.connIdleNs: cannot read {text:?}")]
     InvalidIdleTimeout {
-        /// Its value.
+        /// Text that cannot be parsed.
         text: String,
     },
-    /// The settings have no form as pairs.
+    /// The settings cannot be flattened into key-value pairs.
     #[error(transparent)]
     InvalidSettingsForm(#[from] FlattenError),
-    /// Values of the settings are invalid.
+    /// At least one value of the settings is invalid.
     #[error("{}", join_settings(faults))]
     InvalidSettings {
-        /// All that is wrong with them.
+        /// Every fault found in the settings.
         faults: Vec<PairFault>,
     },
-    /// The seed is a text without a hexadecimal number.
+    /// The seed is a string, but not a hexadecimal number of at most 64 bits.
     #[error("seed: {text:?} is not a hexadecimal number")]
     InvalidSeed {
-        /// The text.
+        /// Text that cannot be parsed.
         text: String,
     },
-    /// The seed is no text.
+    /// The seed is not a string.
     #[error("seed: {value} is not a text of hexadecimal digits")]
-    SeedNotText {
-        /// Its value.
+    SeedNotString {
+        /// Value in the file.
         value: Value,
     },
-    /// A process cannot work with so few file descriptors.
+    /// The file allows fewer file descriptors than the connections of each kind need.
     #[error("limits.sockets: {sockets} is too few, {min} are needed")]
     TooFewSockets {
-        /// How many the file allows.
+        /// File descriptors that the file allows.
         sockets: usize,
-        /// How many are needed.
+        /// File descriptors that are needed at least.
         min: usize,
     },
 }
--- a/src/net/config/limits/downstream.rs
+++ b/src/net/config/limits/downstream.rs
@@ -5,35 +5,35 @@
 /// Limits for connections of clients.
 #[derive(Clone, Debug)]
 pub struct DownstreamLimits {
-    /// Connections of all processes of this limiter together. A further one replaces the connection that has been idle
-    /// longest; where none is idle, all its requests are rejected.
+    /// Maximum number of connections of all processes of this limiter together. A further one replaces the connection
+    /// that has been idle longest; if none is idle, all requests on the further one are rejected.
     pub max_connections: usize,
-    /// How long a new connection may take to send its first complete command, and how long any further command may take
-    /// from its first byte to its last.
+    /// Time within which a new connection must send its first complete command, and within which each further command
+    /// must arrive from its first byte to its last.
     pub command_timeout: Duration,
-    /// How long an idle connection is kept.
+    /// Time for which an idle connection is kept.
     pub idle_timeout: Duration,
-    /// A connection without a request yet is evicted as if it had been idle for this much longer.
+    /// Time that is added to the idle time of a connection without any request yet, so that it is evicted earlier.
     pub unused_eviction_advance: Duration,
-    /// How long a client may read nothing of the answers that are ready for it.
+    /// Time for which a client may leave the answers that are ready for it unread.
     pub write_stall_timeout: Duration,
-    /// How long a connection that is closed here waits for the client to close it too.
+    /// Time for which a connection that the limiter closed waits for the client to close it too.
     pub linger_timeout: Duration,
-    /// How often a connection that is not read from is checked for a client that has gone.
+    /// Interval at which a connection that is not being read is checked for a client that has disconnected.
     pub liveness_check_interval: Duration,
-    /// Unanswered requests of one connection, past which further ones are rejected.
+    /// Maximum number of unanswered requests of one connection, past which further ones are rejected.
     pub max_pipelined_requests: usize,
-    /// Commands of one connection that may be queued, those past `max_pipelined_requests` included. With more of them
-    /// the connection is not read.
+    /// Maximum number of queued commands of one connection, including those past `max_pipelined_requests`. While the
+    /// queue is full the connection is not read.
     pub max_queued_commands: usize,
-    /// Answers that a client has not read yet, past which its connection is not read.
+    /// Maximum size of the answers that a client has not read yet, past which its connection is not read.
     pub max_unsent_bytes: usize,
 }
 
 impl DownstreamLimits {
     pub(super) fn new(sockets: usize) -> Self {
         DownstreamLimits {
-            // Requests use at most a third of the descriptors for clients' connections; the rest is for idle ones.
+            // Requests use at most a third of the descriptors for client connections; the rest is for idle connections.
             max_connections: sockets / 2,
             command_timeout: Duration::from_millis(2_600),
             idle_timeout: Duration::from_secs(5),
@@ -49,19 +49,19 @@
 }
 
 const MAX_VALUE_BYTES: usize = 64 << 10;
-/// The bytes of a message beside its longest value.
+/// Maximum number of bytes of a message besides its longest value.
 const MAX_FRAME_OVERHEAD_BYTES: usize = 8 << 10;
 
 /// Limits for messages of clients and hosts.
 #[derive(Clone, Debug)]
 pub struct CodecLimits {
-    /// The longest value that is read as a whole.
+    /// Maximum length of a value that is buffered as a whole.
     pub max_value_bytes: usize,
-    /// The longest message.
+    /// Maximum length of a message.
     pub max_frame_bytes: usize,
-    /// The most arguments of a command, and the most members of an array.
+    /// Maximum number of arguments of a command, and of members of an array.
     pub max_arguments: usize,
-    /// By how many bytes a read buffer grows at a time.
+    /// Number of bytes by which a read buffer grows at a time.
     pub read_chunk_bytes: usize,
 }
 
--- a/src/net/config/limits/mod.rs
+++ b/src/net/config/limits/mod.rs
@@ -1,6 +1,6 @@
-//! The sizes, counts and times that one process keeps to, grouped by the part that uses them.
+//! Bounds on the sizes, counts and times of one process, grouped by the part that uses them.
 //!
-//! Values in a `Cell` follow a new configuration while the process runs; all others hold until its next start.
+//! A reload of the configuration updates values in a `Cell`; all others stay as they are until the next start.
 
 mod downstream;
 mod process;
@@ -21,43 +21,43 @@
 const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 const RECONNECT_PAUSE: Duration = Duration::from_millis(100);
 
-/// The resources that the limits are derived from, beside the settings.
+/// Resources from which, together with the settings, the limits are derived.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Resources {
-    /// File descriptors of a process.
+    /// Number of file descriptors that a process may have open.
     pub(super) sockets: usize,
-    /// Memory of a process.
+    /// Memory that a process may use.
     pub(super) memory_bytes: usize,
-    /// How long hosts keep idle connections.
+    /// Time for which hosts keep idle connections.
     pub(super) host_idle_timeout: Duration,
 }
 
-/// Every size, count and time that a process keeps to.
+/// All limits of a process.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Connections of clients.
+    /// Limits for connections of clients.
     pub downstream: DownstreamLimits,
-    /// Parsing of messages.
+    /// Limits for messages of clients and hosts.
     pub codec: CodecLimits,
-    /// Requests, from their admission to their answer.
+    /// Limits for requests, from their admission to their answer.
     pub requests: RequestLimits,
-    /// Connections to hosts.
+    /// Limits for connections to hosts.
     pub upstream: UpstreamLimits,
-    /// Values that are forwarded while they arrive.
+    /// Limits for values that are forwarded while they arrive.
     pub streaming: StreamingLimits,
-    /// Connections to the counter.
+    /// Limits for connections to the counter.
     pub counter: CounterLimits,
-    /// Discovery of hosts.
+    /// Limits for discovery of hosts.
     pub discovery: DiscoveryLimits,
-    /// The admin interface.
+    /// Limits for the admin interface.
     pub admin: AdminLimits,
-    /// Two processes of one limiter, while a new version takes over.
+    /// Limits for two processes of one limiter, while a new version takes over.
     pub hot_restart: HotRestartLimits,
-    /// The end of the process.
+    /// Limits for the shutdown of the process.
     pub shutdown: ShutdownLimits,
-    /// How long a connection to a host, to the counter or to discovery may take to be established.
+    /// Timeout for establishing a connection to a host, to the counter or to discovery.
     pub connect_timeout: Cell<Duration>,
-    /// The pause before a failed connection or a failed accept is retried.
+    /// Pause before a failed connect or a failed accept is retried.
     pub reconnect_pause: Duration,
 }
 
@@ -82,19 +82,22 @@
         }
     }
 
-    /// Connections of clients that this process may hold, alone or beside another one.
+    /// Returns how many connections of clients this process may hold: its share while another process of the limiter
+    /// serves too, and otherwise all.
     #[must_use]
     pub fn downstream_connection_share(&self) -> usize {
         self.downstream.max_connections / self.hot_restart.process_count.get()
     }
 
-    /// Connections to hosts that this process may hold, alone or beside another one.
+    /// Returns how many connections to hosts this process may hold: its share while another process of the limiter
+    /// serves too, and otherwise all.
     #[must_use]
     pub fn upstream_connection_share(&self) -> usize {
         self.upstream.max_connections / self.hot_restart.process_count.get()
     }
 
-    /// Takes over the limits that follow from the settings. Those that follow from the size of the process stay.
+    /// Updates the limits that are derived from the settings. Those derived from the file descriptors and the memory of
+    /// the process stay.
     pub fn update_from(&self, new: &Limits) {
         self.requests.update_from(&new.requests);
         self.upstream.update_from(&new.upstream);
@@ -106,7 +109,7 @@
     }
 }
 
-/// A duration of the settings, in which 0 stands for the default.
+/// Converts a duration of the settings, in which 0 stands for `default`.
 fn duration_or(nanos: Nanos, default: Duration) -> Duration {
     if nanos > 0 {
         Duration::from_nanos(nanos)
--- a/src/net/config/limits/process.rs
+++ b/src/net/config/limits/process.rs
@@ -1,4 +1,4 @@
-//! Limits for the admin interface, hot restart and the end of the process.
+//! Limits for the admin interface, hot restart and shutdown.
 
 use crate::api::Settings;
 use std::cell::Cell;
@@ -7,13 +7,14 @@
 /// Limits for the admin interface.
 #[derive(Clone, Debug)]
 pub struct AdminLimits {
-    /// Connections at once, past which the oldest is closed.
+    /// Maximum number of open connections, past which the oldest is closed.
     pub max_connections: usize,
-    /// How long a client may take to send its request, and to read the answer.
+    /// Time that a client may take to send its request, and again to read the response.
     pub request_timeout: Duration,
-    /// The longest request.
+    /// Maximum length of a request's head, and of its body.
     pub max_request_bytes: usize,
-    /// How long a request about an unknown host waits for discovery's first list. Its client waits 1 s.
+    /// Time for which a request that names an unknown host waits for discovery's first list. The client's own timeout
+    /// is 1 s.
     pub first_list_timeout: Duration,
 }
 
@@ -28,18 +29,19 @@
     }
 }
 
-/// Limits for two processes of one limiter.
+/// Limits for two processes of one limiter, while a new version takes over.
 #[derive(Clone, Debug)]
 pub struct HotRestartLimits {
-    /// How often the state file of another process is looked for, where there is an admin interface.
+    /// Interval at which the state files of other processes are read, where there is an admin interface.
     pub poll_interval: Duration,
-    /// How long a second process waits for the state of the first one, which it looks for every `poll_interval`.
+    /// Time for which a second process waits for the state of the first one, which it looks for every `poll_interval`.
     pub handoff_timeout: Duration,
-    /// How long a second process waits for discovery before it accepts clients.
+    /// Time for which a second process waits for discovery before it accepts clients.
     pub discovery_timeout: Duration,
-    /// How long the last connections may take to be established once others are directed to another process.
+    /// Time for which connections that are already being established are still accepted after further ones are
+    /// redirected to another process.
     pub listener_handover_grace: Duration,
-    /// How many processes share the connections that this limiter may hold.
+    /// Number of processes that share the connections of this limiter: 1 or 2.
     pub process_count: Cell<usize>,
 }
 
@@ -55,21 +57,22 @@
     }
 }
 
-/// A process runs on for this long where no class has a longer deadline.
+/// Minimum time between SIGTERM and the end of the process, not counting [`DRAIN_DELAY`]; a longer class deadline
+/// extends it.
 const MIN_SHUTDOWN_NANOS: u64 = 3_000_000_000;
-/// How long clients are served as before after SIGTERM, until the load balancer in front sends no more of them.
+/// Time for which clients are served as before after SIGTERM, until the load balancer in front sends no more of them.
 const DRAIN_DELAY: Duration = Duration::from_millis(600);
 
-/// Limits for the end of the process. All times run from SIGTERM.
+/// Limits for the shutdown of the process. All times but the margin are measured from SIGTERM.
 #[derive(Clone, Debug)]
 pub struct ShutdownLimits {
-    /// How long clients are served as before.
+    /// Time for which clients are served as before.
     pub drain_delay: Duration,
-    /// When rejection of all new requests begins.
+    /// Time after which all new requests are rejected.
     pub reject_after: Duration,
-    /// When the process ends, even where requests are still open.
+    /// Time after which the process ends, even if requests are still open.
     pub timeout: Cell<Duration>,
-    /// How long before `timeout` the last answers are given.
+    /// Time before `timeout` at which requests that are still open are answered.
     pub final_answer_margin: Cell<Duration>,
 }
 
@@ -85,7 +88,8 @@
         }
     }
 
-    /// Requests that were admitted under the old settings keep their time.
+    /// Extends the timeout if the new one is longer. It is never shortened: requests that were admitted under the old
+    /// settings keep their deadlines.
     pub(super) fn update_from(&self, new: &ShutdownLimits) {
         self.timeout.set(self.timeout.get().max(new.timeout.get()));
     }
--- a/src/net/config/limits/requests.rs
+++ b/src/net/config/limits/requests.rs
@@ -11,17 +11,17 @@
 /// Limits for requests.
 #[derive(Clone, Debug)]
 pub struct RequestLimits {
-    /// Open requests, past which new ones are rejected.
+    /// Maximum number of open requests, past which new ones are rejected.
     pub max_open: usize,
-    /// Buffered requests and answers, past which new requests are rejected.
+    /// Maximum size of all buffered requests and answers, past which new requests are rejected.
     pub max_buffered_bytes: usize,
-    /// Attempts of one request.
+    /// Maximum number of attempts of one request, at least 1.
     pub max_attempts: u32,
     /// Whether rejections carry a `retry_after`.
     pub sends_retry_after: Cell<bool>,
-    /// The `retry_after` of a rejection for lack of capacity in this process.
+    /// `retry_after` of a rejection for lack of capacity in this process; zero if rejections carry none.
     pub capacity_retry_after: Cell<Duration>,
-    /// How long before its deadline an unanswered request is failed.
+    /// Time before its deadline at which an unanswered request is failed.
     pub deadline_margin: Duration,
 }
 
--- a/src/net/config/limits/services.rs
+++ b/src/net/config/limits/services.rs
@@ -10,18 +10,19 @@
 /// Limits for connections to the counter.
 #[derive(Clone, Debug)]
 pub struct CounterLimits {
-    /// Connections to the counter.
+    /// Number of connections to the counter.
     pub connections: usize,
-    /// How long a call may take.
+    /// Timeout of a call.
     pub call_timeout: Cell<Duration>,
-    /// Calls that may be pending on one connection.
+    /// Maximum number of pending calls on one connection.
     pub max_pending_calls: usize,
-    /// The longest answer.
+    /// Maximum length of an answer.
     pub max_answer_bytes: usize,
-    /// How long a connection with pending calls may be silent. A counter that hangs still counts the connections given
-    /// up; its longest outage must not use up the 32 that it holds.
+    /// Time after which a connection with pending calls and no data from the counter is closed. A counter that hangs
+    /// still holds the connections closed here, and it holds at most 32: the connections made during its longest outage
+    /// must not exceed that.
     pub silence_timeout: Duration,
-    /// How long an idle connection is kept.
+    /// Time for which an idle connection is kept.
     pub idle_timeout: Duration,
 }
 
@@ -38,12 +39,14 @@
     }
 }
 
-/// The time that the poll of one limiter takes up in a poll cycle: all limiters together make 25 calls a second.
+/// Part of a poll cycle that belongs to one limiter: all limiters together make 25 calls per second.
 const POLL_SLOT: Duration = Duration::from_millis(40);
-/// Of 100 calls made at once 60 waited 2 s in vain, of 100 spread over 4 s none. The cycle stays below the 6 s after
-/// which a change counts as known to all limiters, polled or not.
+/// Maximum length of a poll cycle. Of 100 simultaneous calls 60 get no answer within 2 s; of 100 spread over 4 s all
+/// are answered. The cycle stays below the 6 s after which a change counts as known to all limiters, whether or not
+/// discovery is polled.
 const MAX_POLL_CYCLE: Duration = Duration::from_secs(4);
-/// Polls that come back without a change take a quarter of the calls that discovery can answer, at most.
+/// Poll cycles per watch: watches that end without a change take at most a quarter of the calls that discovery can
+/// answer.
 const POLL_CYCLES_PER_WATCH: u32 = 4;
 const MIN_POLLED_WATCH: Duration = Duration::from_secs(4);
 const MAX_WATCH: Duration = Duration::from_secs(20);
@@ -53,21 +56,21 @@
 pub struct DiscoveryLimits {
     /// Whether discovery is one service of fixed capacity that all limiters poll in turn.
     pub is_polled: bool,
-    /// The time over which all limiters together spread their polls.
+    /// Time over which all limiters together spread their polls, where discovery is polled.
     pub poll_cycle: Duration,
-    /// The longest answer.
+    /// Maximum length of a response.
     pub max_response_bytes: usize,
-    /// How long discovery is asked to wait for a change.
+    /// Time for which discovery is asked to wait for a change before it answers.
     pub watch_timeout: Duration,
-    /// How much later than `watch_timeout` its answer may come. Hosts that a stale watch has missed are found within 2
-    /// s of its end.
+    /// Time after `watch_timeout` within which the answer must arrive. Hosts that a stale watch missed are found within
+    /// 2 s of its end.
     pub watch_grace: Duration,
-    /// How often the complete list is requested beside the watch, where discovery is not polled.
+    /// Interval at which the complete list is requested in addition to the watch, where discovery is not polled.
     pub full_list_interval: Duration,
-    /// How long that request may take.
+    /// Timeout of the request for the complete list.
     pub full_list_timeout: Duration,
-    /// The longest pause before a failed call is retried. With the call itself (connect and answer) it stays below the
-    /// 6 s after which a change counts as known.
+    /// Maximum pause before a failed call is retried. Together with the call itself (connect and answer) it stays below
+    /// the 6 s after which a change counts as known to all limiters.
     pub max_backoff: Duration,
 }
 
--- a/src/net/config/limits/upstream.rs
+++ b/src/net/config/limits/upstream.rs
@@ -10,16 +10,16 @@
 /// Limits for connections to hosts.
 #[derive(Clone, Debug)]
 pub struct UpstreamLimits {
-    /// Connections of all processes of this limiter to all hosts together.
+    /// Maximum number of connections of all processes of this limiter to all hosts together.
     pub max_connections: usize,
-    /// How long an idle connection is kept.
+    /// Time for which an idle connection is kept.
     pub idle_timeout: Cell<Duration>,
-    /// How long after an answer a connection takes no further attempt. A second answer may follow the first by some
-    /// milliseconds; hardly more connections are needed for waiting for it.
+    /// Time after an answer for which a connection is not reused: a second answer to the same attempt may follow the
+    /// first by some milliseconds. The delay hardly increases the number of connections needed.
     pub reuse_delay: Duration,
-    /// How long a host may pause within an answer that is read as a whole.
+    /// Maximum pause of a host within an answer that is buffered as a whole.
     pub answer_stall_timeout: Duration,
-    /// How long after a host began to drain it is sent attempts that were decided before.
+    /// Time after the start of a host's draining during which attempts decided before it are still sent to the host.
     pub drain_grace: Cell<Duration>,
 }
 
@@ -27,8 +27,8 @@
     pub(super) fn new(settings: &Settings, resources: Resources) -> Self {
         UpstreamLimits {
             max_connections: resources.sockets * 3 / 10,
-            // Half of the time for which hosts keep it: a request that is written to a connection that the host just
-            // closed ends with a reset.
+            // Half of the hosts' own idle timeout: a request written to a connection that the host has just closed ends
+            // with a reset.
             idle_timeout: Cell::new(resources.host_idle_timeout / 2),
             reuse_delay: Duration::from_millis(20),
             answer_stall_timeout: Duration::from_millis(250),
@@ -42,15 +42,15 @@
     }
 }
 
-/// Limits for values that are too long to be read as a whole, and are forwarded while they arrive.
+/// Limits for values that are too long to be buffered as a whole, and are forwarded while they arrive.
 #[derive(Clone, Debug)]
 pub struct StreamingLimits {
-    /// The longest value.
+    /// Maximum length of a value.
     pub max_value_bytes: usize,
-    /// The bytes of a value that may be buffered between host and client, and as many again that the client has not
-    /// read.
+    /// Maximum number of bytes of a value that are buffered between host and client; as many again may be waiting for
+    /// the client to read them.
     pub window_bytes: usize,
-    /// How long a host may pause within a value.
+    /// Maximum pause of a host within a value.
     pub stall_timeout: Duration,
 }
 
--- a/src/net/config/mod.rs
+++ b/src/net/config/mod.rs
@@ -22,42 +22,42 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The addresses of the services that a limiter calls.
+/// Addresses of the services that a limiter calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Addresses {
-    /// Discovery.
+    /// Address of discovery.
     pub discovery: SocketAddr,
-    /// The counter, if there is one.
+    /// Address of the counter; `None` if the limiter calls none.
     pub counter: Option<SocketAddr>,
 }
 
-/// The configuration of one process.
+/// Complete, validated configuration of one process.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// The limiter's name, which stays the same over restarts.
+    /// Name of the limiter, which stays the same across restarts.
     pub name: String,
-    /// The address for clients.
+    /// Address on which clients are accepted.
     pub listen: SocketAddr,
-    /// The address of the admin interface; without it there is none.
+    /// Address of the admin interface; `None` if there is no admin interface.
     pub admin: Option<SocketAddr>,
-    /// The addresses of the services.
+    /// Addresses of discovery and the counter.
     pub addresses: Addresses,
-    /// The seed of the random number generators.
+    /// Seed of the random number generators; taken from the clock if the file has none.
     pub seed: u64,
-    /// The endpoint list that this limiter last had, in discovery's form; null if the file has none.
+    /// Endpoint list that this limiter last had, in discovery's format; null if the file has none.
     pub known_hosts: Value,
-    /// The settings of the decision engine.
+    /// Settings of the decision engine.
     pub settings: Settings,
-    /// The names of the zones, by their indices.
+    /// Zone names, by zone index.
     pub zone_names: Vec<String>,
-    /// The names of the machine kinds, by their indices.
+    /// Names of the machine kinds, by index.
     pub machine_kind_names: Vec<String>,
-    /// The sizes, counts and times that the process keeps to.
+    /// Sizes, counts and times that bound the process's work.
     pub limits: Limits,
-    /// The file as it was read, without the endpoint list.
+    /// Content of the file as it was read, without the endpoint list.
     pub file: Value,
-    /// How often the metrics are logged, from the product's own file; never if absent.
+    /// Interval at which the metrics are logged, from the product's own file; `None` if they are not logged.
     pub metrics_interval: Option<Duration>,
-    /// Leases for fleet-wide tasks, from the product's own file; none if absent.
+    /// Leases for fleet-wide tasks, from the product's own file; `None` if there are none.
     pub lease: Option<Lease>,
 }
--- a/src/net/config/parse.rs
+++ b/src/net/config/parse.rs
@@ -1,4 +1,4 @@
-//! Parsing of a configuration's text, and the precedence between file and environment.
+//! Parsing of the configuration, and the precedence between file and environment.
 
 use super::limits::Resources;
 use super::platform_settings::PlatformSettings;
@@ -10,11 +10,11 @@
 
 const DEFAULT_NAME: &str = "limiter";
 const DEFAULT_SOCKETS: u64 = 1024;
-/// With fewer file descriptors the least number of connections of each kind does not fit.
+/// Number of file descriptors below which the minimum numbers of connections of each kind do not fit.
 const MIN_SOCKETS: usize = 128;
 const DEFAULT_MEMORY_MEBIBYTES: u64 = 192;
 
-/// A key of the file whose value a variable of the environment replaces.
+/// A top-level key of the file, and the environment variable that overrides it.
 struct Key {
     key: &'static str,
     variable: &'static str,
@@ -30,10 +30,10 @@
 const DISCOVERY: Key = key("discovery", "BALANCER_DISCOVERY");
 const COUNTER: Key = key("counter", "BALANCER_COUNTER");
 
-/// Parses a configuration. A variable of the environment takes precedence over the file.
+/// Parses a configuration. `variable` looks up an environment variable, which takes precedence over the file.
 ///
 /// # Errors
-/// A key is missing, unknown or out of range.
+/// Returns an error if the text is not JSON, or if a key is missing, unknown or out of range.
 pub fn parse(text: &str, variable: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
     let mut file = parse_json(text)?;
     let known_hosts = file
@@ -73,11 +73,11 @@
 
 /// Parses a configuration that replaces `current`, the file in force.
 ///
-/// The addresses of services that the file names take precedence over the environment, which is as old as the process:
-/// the services may have moved since.
+/// Addresses of services in the file take precedence over the environment here: the environment is that of the process
+/// start, and the services may have moved since.
 ///
 /// # Errors
-/// The text is not JSON, lacks something that the current file has, or is rejected by [`parse`].
+/// Returns an error if the text is not JSON, lacks something that the current file has, or is rejected by [`parse`].
 pub fn parse_replacement(
     current: &Value,
     text: &str,
@@ -88,13 +88,13 @@
     if !faults.is_empty() {
         return Err(ConfigError::InvalidReplacement { faults });
     }
-    let moved_services: Vec<_> = [DISCOVERY, COUNTER]
+    let services_in_file: Vec<_> = [DISCOVERY, COUNTER]
         .into_iter()
         .filter(|service| file.get(service.key).is_some())
         .map(|service| service.variable)
         .collect();
     parse(text, |name| {
-        if moved_services.contains(&name) {
+        if services_in_file.contains(&name) {
             None
         } else {
             variable(name)
@@ -106,7 +106,7 @@
     serde_json::from_str(text).map_err(ConfigError::NotJson)
 }
 
-/// The file and the environment.
+/// The two sources of configuration values: the file and the environment.
 struct Source<'a> {
     file: &'a Value,
     variable: &'a dyn Fn(&str) -> Option<String>,
@@ -141,7 +141,7 @@
         }
     }
 
-    /// The seed, which is taken from the clock if the file has none.
+    /// Returns the seed; it is taken from the clock if the file has none.
     fn seed(&self) -> Result<u64, ConfigError> {
         match self.file.get("seed") {
             None => Ok(SystemTime::UNIX_EPOCH
@@ -149,7 +149,7 @@
                 .map_or(0, |since_epoch| since_epoch.as_nanos() as u64)),
             Some(Value::String(text)) => u64::from_str_radix(text, 16)
                 .map_err(|_| ConfigError::InvalidSeed { text: text.clone() }),
-            Some(other) => Err(ConfigError::SeedNotText {
+            Some(other) => Err(ConfigError::SeedNotString {
                 value: other.clone(),
             }),
         }
@@ -170,7 +170,7 @@
         Ok(Limits::new(&platform.settings, resources))
     }
 
-    /// A count from the object `limits`.
+    /// Returns the count `name` of the object `limits`, or `default` if it is absent or null. Errors name `key`.
     fn count(&self, name: &str, key: &'static str, default: u64) -> Result<usize, ConfigError> {
         let value = self.file.get("limits").and_then(|limits| limits.get(name));
         let count = match value {
--- a/src/net/config/platform_settings.rs
+++ b/src/net/config/platform_settings.rs
@@ -1,4 +1,4 @@
-//! The platform's settings within the file: those of the decision engine, and those that concern sockets only.
+//! The platform's settings in the file: those of the decision engine, and those that concern sockets only.
 
 use super::ConfigError;
 use crate::api::Settings;
@@ -7,24 +7,24 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The key of the time for which hosts keep idle connections.
+/// Key of the time, in nanoseconds, for which hosts keep idle connections.
 const HOST_IDLE_TIMEOUT_KEY: &str = "limits.connIdleNs";
 const DEFAULT_HOST_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The platform's settings.
+/// The platform's settings, decoded.
 pub(super) struct PlatformSettings {
-    /// The settings of the decision engine.
+    /// Settings of the decision engine.
     pub(super) settings: Settings,
-    /// The names of the zones, by their indices.
+    /// Zone names, by zone index.
     pub(super) zone_names: Vec<String>,
-    /// The names of the machine kinds, by their indices.
+    /// Names of the machine kinds, by index.
     pub(super) machine_kind_names: Vec<String>,
-    /// How long hosts keep idle connections.
+    /// Time for which hosts keep idle connections.
     pub(super) host_idle_timeout: Duration,
 }
 
 impl PlatformSettings {
-    /// Reads the object `settings` of the file.
+    /// Decodes the object `settings` of the file.
     pub(super) fn read(file: &Value) -> Result<Self, ConfigError> {
         let settings = file
             .get("settings")
--- a/src/net/config/tests.rs
+++ b/src/net/config/tests.rs
@@ -1,4 +1,4 @@
-//! Limits that depend on each other hold together, and the file and the environment have their precedence.
+//! Tests of limits that depend on each other, of the precedence between file and environment, and of error messages.
 
 use super::*;
 use std::time::Duration;
@@ -9,29 +9,31 @@
 }
 
 fn json(text: &str) -> Value {
-    serde_json::from_str(text).expect("JSON")
+    serde_json::from_str(text).expect("valid JSON")
 }
 
-/// The counter holds 32 connections, and keeps those that the limiter has closed. Its longest outage lasts 12 s.
+/// A counter that hangs holds at most 32 connections, including those that the limiter has closed. The connections
+/// made during its longest outage, 12 s, must not exceed that.
 #[test]
 fn hanging_counter_gets_no_more_connections_than_it_holds() {
     let limits = limits_of_example("", "");
-    let rounds = Duration::from_secs(12)
+    let reconnects = Duration::from_secs(12)
         .div_duration_f64(limits.counter.silence_timeout + limits.reconnect_pause)
         .ceil();
     assert!(
-        (rounds + 1.0) * limits.counter.connections as f64 <= 32.0,
-        "{rounds} rounds"
+        (reconnects + 1.0) * limits.counter.connections as f64 <= 32.0,
+        "{reconnects} reconnects"
     );
 }
 
-/// All connections together leave some descriptors for files and signals.
+/// All connections together leave at least six descriptors for files and signals.
 #[test]
 fn all_connections_fit_the_socket_limit() {
     for sockets in [128, 1024, 4096] {
         let limits = limits_of_example("1024", &sockets.to_string());
-        let crowd = limits.downstream.max_connections + limits.downstream.max_connections / 16 + 1;
-        let all = crowd
+        let downstream =
+            limits.downstream.max_connections + limits.downstream.max_connections / 16 + 1;
+        let all = downstream
             + limits.upstream.max_connections
             + 2
             + limits.counter.connections
@@ -41,8 +43,8 @@
     }
 }
 
-/// At the start the environment takes precedence over the file; a replacement takes precedence over the environment for
-/// the addresses of services.
+/// At the start the environment takes precedence over the file; on a reload the addresses of services in the file take
+/// precedence over the environment.
 #[test]
 fn replacement_file_takes_precedence_over_environment() {
     let text = include_str!("../../../examples/toy.json");
@@ -53,7 +55,7 @@
     };
     let old = parse(text, variable).expect("valid");
     let new = parse_replacement(&json(text), text, variable).expect("valid");
-    let address = |text: &str| text.parse().expect("an address");
+    let address = |text: &str| text.parse().expect("a valid address");
     let discovery = address(in_environment);
     let counter = Some(address(in_environment));
     assert_eq!(old.addresses, Addresses { discovery, counter });
@@ -76,7 +78,7 @@
     assert!(parse_replacement(&json(text), "{", variable).is_err());
 }
 
-/// Changes of the example, as old and new text, and the errors that they give.
+/// Replacements in the example, as old and new text, and the resulting error messages.
 const INVALID_EXAMPLES: [(&str, &str, &str); 10] = [
     ("\"listen\":", "\"listener\":", "listen: missing"),
     (
--- a/src/net/hot_restart/listener_handover.rs
+++ b/src/net/hot_restart/listener_handover.rs
@@ -1,7 +1,7 @@
-//! The choice which of two processes that listen at one address accepts further connections.
+//! Redirection of new connections between two processes that listen on one address.
 //!
-//! A listening socket that is closed loses the connections in its queue. From the moment of handover the kernel
-//! gives all of them to the later process, so that the older one can empty its queue and then close it.
+//! Closing a listening socket resets the connections in its accept queue. From the handover on the kernel queues all
+//! new connections at the later process, so that the earlier one can empty its queue before it closes the socket.
 
 use nix::libc::{sock_filter, sock_fprog};
 use nix::sys::socket::{setsockopt, sockopt::AttachReusePortCbpf};
@@ -10,16 +10,16 @@
 #[cfg(test)]
 mod tests;
 
-/// `BPF_RET | BPF_K`: the program returns the constant `k`.
+/// Classic BPF opcode `BPF_RET | BPF_K`: return the constant `k`.
 const RETURN_CONSTANT: u16 = 0x06;
-/// The index, in the order of listening, of the socket that gets the connections.
+/// Index, in the order of `listen` calls, of the socket that gets the connections.
 const SECOND_SOCKET: u32 = 1;
 
-/// Gives all further connections to the second process that listens at this address. Where there is no second one any
-/// more, the kernel takes the index for no choice, and the process that is left gets them.
+/// Directs all new connections to the second process that listens on this address. Once only one process is left, the
+/// index is out of range; the kernel then ignores it, and that process gets the connections.
 ///
 /// # Errors
-/// The kernel does not support this; connections then still come to either process.
+/// Returns an error if the kernel does not support this; it then still distributes connections over both processes.
 pub fn redirect_to_second(listener: &impl AsFd) -> nix::Result<()> {
     let mut filter = [sock_filter {
         code: RETURN_CONSTANT,
--- a/src/net/hot_restart/local_process.rs
+++ b/src/net/hot_restart/local_process.rs
@@ -1,4 +1,4 @@
-//! This process, as the other process of its limiter sees it.
+//! The identity of this process towards the other process of its limiter.
 
 use super::shared_folder::SharedFolder;
 use crate::api::Nanos;
@@ -6,19 +6,21 @@
 use quartzcleat_admin::LimiterIdentity;
 use std::net::SocketAddr;
 
-/// The identity of this process, and the folder that it shares with the other process of its limiter.
+/// Identity of this process, and the folder that it shares with the other process of its limiter.
 pub struct LocalProcess {
+    /// Name of the limiter.
     pub(super) name: String,
+    /// Address on which clients are accepted.
     pub(super) listen: String,
-    /// When this process started, in Unix time.
+    /// Start of this process, in nanoseconds of Unix time.
     pub(super) started_at: Nanos,
-    /// `None` where there is no admin interface, and so no other process.
+    /// Folder of the state files; `None` without an admin interface, since there is then no other process.
     pub(super) folder: Option<SharedFolder>,
 }
 
 impl LocalProcess {
-    /// A process that starts at this moment. Without an admin interface there is no other process, and nothing is
-    /// shared.
+    /// Creates the identity of a process that starts now. Without an admin interface (`has_admin`) there is no other
+    /// process, and nothing is shared.
     pub fn new(name: String, listen: SocketAddr, has_admin: bool) -> Self {
         let started_at = unix_time::now();
         LocalProcess {
@@ -29,7 +31,7 @@
         }
     }
 
-    /// The limiter that this process belongs to.
+    /// Returns the identity of the limiter that this process belongs to.
     pub(super) fn identity(&self) -> LimiterIdentity<'_> {
         LimiterIdentity {
             name: &self.name,
--- a/src/net/hot_restart/mod.rs
+++ b/src/net/hot_restart/mod.rs
@@ -1,9 +1,9 @@
 //! The other process of this limiter, while a new version takes over.
 //!
-//! Each process with an admin interface publishes a [`SharedState`], and looks for those of other processes at short
-//! intervals. The later order on each matter holds for both, also after the process that received it has ended. To a
-//! process that is about to accept clients, the one before it hands over its endpoint list and a snapshot of its
-//! engine.
+//! Each process with an admin interface publishes a [`SharedState`], and polls those of other processes at short
+//! intervals. Of two operator orders for the same host, or on draining, the later one holds for both processes, even
+//! after the process that received it has ended. Before a new process accepts clients, the earlier one hands over its
+//! endpoint list and a snapshot of its engine.
 
 pub mod listener_handover;
 mod local_process;
@@ -26,36 +26,36 @@
 use std::rc::Rc;
 use tokio::time::sleep;
 
-/// The state that this process shares with the other process of its limiter.
+/// Exchange of state between this process and the other process of its limiter.
 pub struct HotRestart {
     limits: Rc<Limits>,
     engine: Rc<EngineDriver>,
     discovery: Rc<DiscoveryClient>,
     shutdown: Rc<Shutdown>,
     process: LocalProcess,
-    /// This process accepts clients.
+    /// Whether this process accepts clients.
     is_serving: Cell<bool>,
-    /// The state that was published last.
+    /// Values at the last publication; `None` if the state has to be published again.
     published: Cell<Option<PublishedState>>,
-    /// Processes that have ended, whose files are removed once their orders are published by this one.
-    ended: RefCell<Vec<String>>,
+    /// Names of processes that have ended. Their files are removed once this process has published their orders.
+    ended_processes: RefCell<Vec<String>>,
     seen: SeenStates,
-    /// When the other process of this limiter started that accepts clients.
-    other_serving_since: Cell<Option<Nanos>>,
-    /// Later processes to which this one has handed over.
-    successors: RefCell<HashSet<String>>,
+    /// Start, in nanoseconds of Unix time, of the other process that accepts clients; `None` if there is none.
+    other_started_at: Cell<Option<Nanos>>,
+    /// Names of later processes to which this one has written a handoff.
+    handed_over_to: RefCell<HashSet<String>>,
 }
 
-/// Whether a handoff of another process is still awaited.
+/// Whether a handoff from another process is still expected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HandoffStatus {
-    /// It was taken, or there is no other process.
+    /// The handoff was taken, or there is no other process.
     Done,
-    /// It has not been written yet.
+    /// The handoff has not been written yet.
     Awaited,
 }
 
-/// The values that the published state depends on.
+/// Values that determine the published state; it is published again when one of them changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct PublishedState {
     maintenance_revision: u64,
@@ -64,7 +64,7 @@
 }
 
 impl HotRestart {
-    /// A process that has not looked for others yet.
+    /// Creates the exchange for a process that has not polled other processes yet.
     pub fn new(
         limits: &Rc<Limits>,
         engine: &Rc<EngineDriver>,
@@ -80,27 +80,27 @@
             process,
             is_serving: Cell::default(),
             published: Cell::default(),
-            ended: RefCell::default(),
+            ended_processes: RefCell::default(),
             seen: SeenStates::default(),
-            other_serving_since: Cell::default(),
-            successors: RefCell::default(),
+            other_started_at: Cell::default(),
+            handed_over_to: RefCell::default(),
         }
     }
 
     /// Whether another process of this limiter accepts clients.
     pub fn is_other_serving(&self) -> bool {
-        self.other_serving_since.get().is_some()
+        self.other_started_at.get().is_some()
     }
 
-    /// Whether a later process of this limiter accepts the clients.
+    /// Returns whether a process of this limiter that started later accepts clients.
     pub fn successor(&self) -> Successor {
-        match self.other_serving_since.get() {
+        match self.other_started_at.get() {
             Some(started_at) if started_at > self.process.started_at => Successor::Serving,
             _ => Successor::None,
         }
     }
 
-    /// Publishes from now on that this process accepts clients, and looks for other processes at short intervals.
+    /// Publishes that this process accepts clients, and starts to poll other processes at short intervals.
     pub fn start_serving(self: &Rc<Self>) {
         self.is_serving.set(true);
         self.publish();
@@ -114,7 +114,7 @@
         });
     }
 
-    /// Publishes the state of this process, if it has changed.
+    /// Publishes the state of this process if it has changed.
     pub fn publish(&self) {
         let Some(folder) = &self.process.folder else {
             return;
@@ -132,7 +132,7 @@
             return tracing::warn!(%folder, %error, "state for the other process not written");
         }
         self.published.set(Some(current));
-        for process in self.ended.take() {
+        for process in self.ended_processes.take() {
             folder.remove_files(&process);
         }
     }
@@ -150,8 +150,8 @@
         }
     }
 
-    /// Reads the states that other processes of this limiter published. The orders of a process that has ended hold
-    /// too.
+    /// Reads the states that other processes of this limiter published. The orders of a process that has ended still
+    /// hold.
     pub fn look(&self) {
         let Some(folder) = &self.process.folder else {
             return;
@@ -159,22 +159,23 @@
         let Ok(processes) = folder.other_processes() else {
             return;
         };
-        let serving = processes
+        let started_at_of_serving = processes
             .iter()
-            .filter_map(|process| self.look_at(folder, process));
-        let other_serving_since = serving.max();
-        // Two processes must not hold more connections together than one may.
-        let processes = 1 + usize::from(other_serving_since.is_some());
+            .filter_map(|process| self.read_process(folder, process));
+        let other_started_at = started_at_of_serving.max();
+        // Two processes together must not hold more connections than one may.
+        let processes = 1 + usize::from(other_started_at.is_some());
         self.limits.hot_restart.process_count.set(processes);
-        let before = self.other_serving_since.replace(other_serving_since);
-        if before.is_some() != other_serving_since.is_some() {
-            let serves = other_serving_since.is_some();
+        let before = self.other_started_at.replace(other_started_at);
+        if before.is_some() != other_started_at.is_some() {
+            let serves = other_started_at.is_some();
             tracing::info!(serves, "other process of this limiter");
         }
     }
 
-    /// Reads the state that one process published; returns when that process started, if it lives and accepts clients.
-    fn look_at(&self, folder: &SharedFolder, process: &str) -> Option<Nanos> {
+    /// Reads the state that one process published; returns the start of that process if it is alive and accepts
+    /// clients.
+    fn read_process(&self, folder: &SharedFolder, process: &str) -> Option<Nanos> {
         let text = folder.read_state(process).ok()?;
         let state = self.parse_state(process, &text)?;
         let is_alive = folder.is_alive(process);
@@ -186,14 +187,15 @@
             self.apply(&state);
         }
         if !is_alive {
-            // Its orders are published by this process before its files are removed.
+            // This process publishes the orders of the ended one before it removes its files.
             self.published.set(None);
-            self.ended.borrow_mut().push(process.to_owned());
+            self.ended_processes.borrow_mut().push(process.to_owned());
         }
         (is_alive && state.is_serving).then_some(state.started_at)
     }
 
-    /// Parses the state of a process of this limiter. The first text of another process that is no such state is logged.
+    /// Parses the state of a process of this limiter. If the first text read from a process is no such state, a warning
+    /// is logged.
     fn parse_state(&self, process: &str, text: &str) -> Option<SharedState> {
         match SharedState::from_text(text, self.process.identity()) {
             Ok(state) => Some(state),
@@ -213,9 +215,14 @@
         self.shutdown.merge_drain_order(state.drain);
     }
 
-    /// Hands over the endpoint list and the engine's snapshot to a later process that is about to accept clients, once.
+    /// Hands over the endpoint list and a snapshot of the engine to a later process that is about to accept clients.
+    /// Does nothing after the first call for that process.
     fn hand_over(&self, folder: &SharedFolder, successor: &str) {
-        if !self.successors.borrow_mut().insert(successor.to_owned()) {
+        if !self
+            .handed_over_to
+            .borrow_mut()
+            .insert(successor.to_owned())
+        {
             return;
         }
         let handoff = Handoff::new(
@@ -230,7 +237,7 @@
         }
     }
 
-    /// Takes the handoff of another process, if it was written.
+    /// Applies the handoff from another process if it has been written.
     pub fn take_handoff(&self) -> HandoffStatus {
         let Some(folder) = &self.process.folder else {
             return HandoffStatus::Done;
--- a/src/net/hot_restart/seen_states.rs
+++ b/src/net/hot_restart/seen_states.rs
@@ -1,27 +1,27 @@
-//! The states of other processes as they were read last.
+//! The states of other processes, as last read.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
 
-/// How the text that a process published relates to the one read before.
+/// Relation of a text that a process published to the one read from it before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Seen {
-    /// It is the first one of this process.
+    /// It is the first text read from this process.
     First,
-    /// It differs.
+    /// It differs from the previous text.
     Changed,
-    /// It is the same.
+    /// It equals the previous text.
     Unchanged,
 }
 
-/// The text read last from each process.
+/// The text last read from each process, by process name.
 #[derive(Default)]
 pub(super) struct SeenStates {
     texts: RefCell<HashMap<String, String>>,
 }
 
 impl SeenStates {
-    /// Records the text that a process has published.
+    /// Records the text that a process has published; returns how it relates to the previous one.
     pub(super) fn record(&self, process: &str, text: &str) -> Seen {
         let mut texts = self.texts.borrow_mut();
         match texts.insert(process.to_owned(), text.to_owned()) {
--- a/src/net/hot_restart/shared_folder.rs
+++ b/src/net/hot_restart/shared_folder.rs
@@ -1,7 +1,8 @@
-//! The files through which processes of one limiter share their state, in `$TMPDIR`.
+//! The files in `$TMPDIR` through which processes of one limiter share their state.
 //!
-//! Each process has a name of its own, from which its files are named: `.json` (its state), `.lock` (locked for as long
-//! as it lives) and `.heritage` (the handoff of another process). Files are written whole and then renamed.
+//! Each process has a unique name and three files of that name: `.json` (its state), `.lock` (locked while the process
+//! is alive) and `.heritage` (the handoff to it from another process). The state and the handoff are written to a
+//! temporary file that is then renamed, so that readers never see a partial text.
 
 use crate::api::Nanos;
 use std::cell::RefCell;
@@ -16,16 +17,16 @@
 const HANDOFF_SUFFIX: &str = "heritage";
 const HANDOFF_DRAFT_SUFFIX: &str = "draft";
 
-/// The folder, and this process's name in it.
+/// The shared folder, and the name of this process in it.
 pub(super) struct SharedFolder {
     folder: PathBuf,
     own_name: String,
-    /// Held locked while this process lives.
+    /// Lock file, locked while this process is alive; `None` before the first write.
     lock: RefCell<Option<File>>,
 }
 
 impl SharedFolder {
-    /// The folder for temporary files, for a process that started at `started_at`.
+    /// Uses the folder for temporary files, for a process that started at `started_at`.
     pub(super) fn new(started_at: Nanos) -> Self {
         SharedFolder {
             folder: std::env::temp_dir(),
@@ -34,7 +35,7 @@
         }
     }
 
-    /// The folder's path.
+    /// Returns the folder's path.
     pub(super) fn path(&self) -> &Path {
         &self.folder
     }
@@ -46,7 +47,7 @@
     /// Writes this process's state.
     ///
     /// # Errors
-    /// The folder cannot be written to, or the lock is another process's.
+    /// Returns an error if the folder cannot be written to, or if another process holds the lock.
     pub(super) fn write_state(&self, text: &str) -> io::Result<()> {
         self.acquire_lock()?;
         let draft = self.file(&self.own_name, STATE_DRAFT_SUFFIX);
@@ -62,10 +63,10 @@
         Ok(())
     }
 
-    /// The names of all other processes that published a state, of whichever limiter.
+    /// Returns the names of all other processes, of any limiter, that published a state.
     ///
     /// # Errors
-    /// The folder cannot be read.
+    /// Returns an error if the folder cannot be read.
     pub(super) fn other_processes(&self) -> io::Result<Vec<String>> {
         let files = fs::read_dir(&self.folder)?;
         let names = files.flatten().filter_map(|file| {
@@ -77,15 +78,15 @@
         Ok(names.collect())
     }
 
-    /// The state that a process published.
+    /// Reads the state that a process published.
     ///
     /// # Errors
-    /// The file cannot be read; its process may have ended meanwhile.
+    /// Returns an error if the file cannot be read; its process may have ended in the meantime.
     pub(super) fn read_state(&self, process: &str) -> io::Result<String> {
         fs::read_to_string(self.file(process, STATE_SUFFIX))
     }
 
-    /// Whether a process lives: it holds its lock.
+    /// Whether a process is alive, that is, holds the lock on its lock file.
     pub(super) fn is_alive(&self, process: &str) -> bool {
         let lock = self.file(process, LOCK_SUFFIX);
         File::open(lock).is_ok_and(|file| matches!(file.try_lock(), Err(TryLockError::WouldBlock)))
@@ -94,13 +95,13 @@
     /// Writes the handoff to another process.
     ///
     /// # Errors
-    /// The folder cannot be written to.
+    /// Returns an error if the folder cannot be written to.
     pub(super) fn write_handoff(&self, process: &str, text: &str) -> io::Result<()> {
         let draft = self.file(process, HANDOFF_DRAFT_SUFFIX);
         write_and_rename(&draft, &self.file(process, HANDOFF_SUFFIX), text)
     }
 
-    /// Takes the handoff of another process to this one, if there is one.
+    /// Reads and removes the handoff from another process to this one; returns `None` if there is none.
     pub(super) fn take_handoff(&self) -> Option<String> {
         let file = self.file(&self.own_name, HANDOFF_SUFFIX);
         let text = fs::read_to_string(&file).ok()?;
@@ -121,7 +122,8 @@
     fs::rename(draft, file)
 }
 
-/// Removes a file. Another process may have removed it before; a file that stays is found again.
+/// Removes a file. Errors are ignored: another process may have removed it already, and a file that remains is found
+/// again at the next poll.
 fn remove_if_present(file: &Path) {
     let _ = fs::remove_file(file);
 }
--- a/src/net/reload.rs
+++ b/src/net/reload.rs
@@ -1,7 +1,7 @@
-//! SIGHUP: the configuration is read again.
+//! Reload of the configuration at SIGHUP.
 //!
-//! The addresses and settings of a sound file are in force from then on. A faulty file changes nothing, and the log
-//! names all its faults. Limits that follow from the process's descriptors and memory stay until the next start, and so
+//! The addresses and settings of a valid file take effect at once. An invalid file changes nothing, and the log names
+//! all its faults. Limits that are derived from the process's descriptors and memory stay until the next start, and so
 //! does the choice between polled and pushed discovery.
 
 use super::config::{self, Addresses, Config, ConfigError, Limits};
@@ -26,20 +26,20 @@
 #[cfg(test)]
 mod tests;
 
-/// The configuration in force.
+/// The parts of the configuration in force that a reload replaces.
 pub struct ActiveConfig {
-    /// The addresses of the services, for the tasks that follow their changes.
+    /// Addresses of the services, for the tasks that follow their changes.
     addresses: watch::Sender<Addresses>,
-    /// The file as it was read.
+    /// Content of the file as it was read.
     file: RefCell<Value>,
-    /// The indices of classes and plans.
+    /// Indices of classes and plans.
     indices: RefCell<ClassIndices>,
-    /// The classes and plans that a request may name.
+    /// Classes and plans that a request may name.
     catalog: Rc<RefCell<RequestCatalog>>,
 }
 
 impl ActiveConfig {
-    /// The configuration that the process starts with: `file` as it was read, and the settings in it.
+    /// Creates the configuration that the process starts with: `file` as it was read, and the settings in it.
     pub fn new(file: Value, settings: &Settings, addresses: Addresses) -> Self {
         let indices = ClassIndices::new(settings);
         let catalog = RequestCatalog::new(settings, &indices.accepted(0));
@@ -51,17 +51,18 @@
         }
     }
 
-    /// A receiver that follows the addresses of the services.
+    /// Returns a receiver that follows the addresses of the services.
     pub fn subscribe_addresses(&self) -> watch::Receiver<Addresses> {
         self.addresses.subscribe()
     }
 
     fn set_addresses(&self, addresses: Addresses) {
         self.addresses
-            .send_if_modified(|held| std::mem::replace(held, addresses) != addresses);
+            .send_if_modified(|current| std::mem::replace(current, addresses) != addresses);
     }
 
-    /// Gives the classes and plans of new settings their indices, and accepts requests that name them.
+    /// Assigns indices to the classes and plans of new settings, and accepts requests that name them. Returns the
+    /// settings with all classes and plans at their indices.
     fn set_classes(&self, settings: &Settings) -> Settings {
         let indexed = self.indices.borrow_mut().apply(settings, unix_time::now());
         let accepted = self.indices.borrow().accepted(unix_time::now());
@@ -70,14 +71,14 @@
         indexed
     }
 
-    /// Stops accepting requests of classes and plans that were removed long enough ago.
+    /// Stops accepting requests that name a class or plan whose grace period after its removal is over.
     fn retire_classes(&self) {
         let accepted = self.indices.borrow().accepted(unix_time::now());
         self.catalog.borrow_mut().retain(&accepted);
     }
 }
 
-/// Reloads the configuration and hands it to the parts that follow it.
+/// Reloads the configuration and passes it to the components that use it.
 pub struct ConfigReloader {
     limits: Rc<Limits>,
     engine: Rc<EngineDriver>,
@@ -87,7 +88,7 @@
 }
 
 impl ConfigReloader {
-    /// A reloader of the configuration that the process starts with.
+    /// Creates a reloader; `active_config` is the configuration that the process starts with.
     pub fn new(
         limits: &Rc<Limits>,
         engine: &Rc<EngineDriver>,
@@ -104,30 +105,30 @@
         }
     }
 
-    /// The classes and plans that a request may name, by the configuration in force.
+    /// Returns the classes and plans that a request may name under the configuration in force.
     pub fn catalog(&self) -> Rc<RefCell<RequestCatalog>> {
         self.active_config.catalog.clone()
     }
 
-    /// Reads the configuration again at each SIGHUP from now on.
+    /// Starts to reload the configuration at each SIGHUP.
     ///
     /// # Errors
-    /// The signal handler cannot be installed.
+    /// Returns an error if the signal handler cannot be installed.
     pub fn watch(self: &Rc<Self>) -> Result<(), SignalError> {
         let mut hangup = signals::on_hangup()?;
         let reloader = self.clone();
         spawn(async move {
             while hangup.recv().await.is_some() {
-                let read = config::reload_from_environment(&reloader.active_config.file.borrow());
-                reloader.apply(read);
+                let result = config::reload_from_environment(&reloader.active_config.file.borrow());
+                reloader.apply(result);
             }
         });
         Ok(())
     }
 
-    /// Puts a configuration into force. A faulty one is reported, and the one before stays.
-    fn apply(self: &Rc<Self>, read: Result<Config, ConfigError>) {
-        let config = match read {
+    /// Applies a configuration. An error is logged, and the configuration in force stays.
+    fn apply(self: &Rc<Self>, result: Result<Config, ConfigError>) {
+        let config = match result {
             Err(error) => return tracing::warn!(%error, "configuration rejected"),
             Ok(config) => config,
         };
@@ -141,7 +142,7 @@
         spawn(self.clone().retire_classes());
     }
 
-    /// Applies settings in which zones, classes and plans keep the indices that they had before.
+    /// Applies settings. Zones, classes and plans keep the indices that they had before.
     fn apply_settings(&self, mut settings: Settings, zone_names: &[String]) {
         settings.limiters.own_zone = self.discovery.zone(zone_names, settings.limiters.own_zone);
         let indexed = self.active_config.set_classes(&settings);
@@ -155,9 +156,9 @@
         });
     }
 
-    /// Stops accepting requests of removed classes and plans, some time after their removal.
+    /// Waits for the grace period of removed classes and plans, and then stops accepting requests that name them.
     async fn retire_classes(self: Rc<Self>) {
-        sleep(Duration::from_nanos(ClassIndices::accepted_after_removal())).await;
+        sleep(Duration::from_nanos(ClassIndices::removal_grace())).await;
         self.active_config.retire_classes();
     }
 }
--- a/src/net/reload/race_tests.rs
+++ b/src/net/reload/race_tests.rs
@@ -1,4 +1,4 @@
-//! Settings that change while requests are open: no class or plan gets the index or the name of another one.
+//! Tests of reloads while requests are open: no class or plan gets the index or the name of another one.
 
 use crate::api::{ClassIndex, Event, HostId, Outcome, ReportSource};
 use crate::net::config;
@@ -12,20 +12,20 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-const TOY: &str = include_str!("../../../examples/toy.json");
+const EXAMPLE: &str = include_str!("../../../examples/toy.json");
 
-/// Reloads a file, which is sound.
+/// Reloads the configuration from `text`, which must be valid.
 fn reload(limiter: &Rc<Limiter>, text: &str) {
-    let read = config::parse_replacement(
+    let result = config::parse_replacement(
         &limiter.reloader().active_config.file.borrow(),
         text,
         |_| None,
     );
-    assert!(read.is_ok(), "{:?}", read.err());
-    limiter.reloader().apply(read);
+    assert!(result.is_ok(), "{:?}", result.err());
+    limiter.reloader().apply(result);
 }
 
-/// An attempt of a request that is open.
+/// Opens a request and begins an attempt of it.
 fn begin_attempt(limiter: &Rc<Limiter>, id: u64) -> HostCall {
     let now = Instant::now();
     let mut requests = limiter.engine().requests().borrow_mut();
@@ -35,8 +35,8 @@
         .expect("within the cap")
 }
 
-/// How long pooled connections are kept, and where hosts report their load, follow the new file, also for the attempts
-/// of open requests.
+/// A reload changes the idle timeout of pooled connections and the place where hosts report their load, also for
+/// attempts of requests that are open.
 #[test]
 fn settings_of_host_connections_follow_a_reload() {
     with_limiter(&[], |limiter| async move {
@@ -45,8 +45,8 @@
         let answer = b"*3\r\n$3\r\nbed\r\n$-1\r\n$10\r\ninflight=7\r\n";
         let load = || {
             let reply = codec::parse_reply(answer, limiter.limits())
-                .expect("sound")
-                .expect("whole")
+                .expect("valid")
+                .expect("complete")
                 .reply;
             let source = limiter.upstream().report_source();
             let end = interpret(&reply, answer, &attempt.command, attempt.host, source).result;
@@ -55,22 +55,22 @@
         };
         let idle = || limiter.limits().upstream.idle_timeout.get();
         assert_eq!((load(), idle()), (0, Duration::from_secs(15)));
-        let new = TOY.replace("\"how\": \"none\"", "\"how\": \"answers\"");
+        let new = EXAMPLE.replace("\"how\": \"none\"", "\"how\": \"answers\"");
         reload(
             &limiter,
             &new.replace("\"connIdleNs\": 30000000000", "\"connIdleNs\": 4000000000"),
         );
         assert!(
             matches!(next(&limiter).await, Event::SettingsChanged { .. }),
-            "the file is sound"
+            "the file is valid"
         );
         assert_eq!(limiter.upstream().report_source(), ReportSource::Answers);
         assert_eq!((load(), idle()), (1, Duration::from_secs(2)));
     });
 }
 
-/// Classes and plans in another order, and one under the name of another: each index keeps its meaning, with its
-/// deadline and effect, and each name gets the meaning of the new file.
+/// A new file may list classes and plans in another order, or give one the name of another. Each index keeps its class
+/// or plan, with its deadline and effect, and each name refers to the definition in the new file.
 #[test]
 fn reordered_classes_keep_their_indices() {
     with_limiter(&[], |limiter| async move {
@@ -82,26 +82,26 @@
             (named("bed-check"), named("bed-hold")),
             (Some(ClassIndex(0)), Some(ClassIndex(1)))
         );
-        // The two classes exchange their names.
-        let new = TOY
+        // The two classes swap names.
+        let new = EXAMPLE
             .replace("bed-check", "x")
             .replace("bed-hold", "bed-check")
             .replace("\"x\"", "\"bed-hold\"");
         reload(&limiter, &new);
         let Event::SettingsChanged { settings } = next(&limiter).await else {
-            panic!("the engine gets the settings")
+            panic!("the engine receives the settings")
         };
-        let old = config::parse(TOY, |_| None).expect("sound").settings;
+        let old = config::parse(EXAMPLE, |_| None).expect("valid").settings;
         assert_eq!(
             settings.classes[..2],
             old.classes[..],
-            "requests accepted before keep their terms"
+            "requests accepted before keep their class"
         );
         let check = named("bed-check").expect("accepted");
         let hold = named("bed-hold").expect("accepted");
         assert!(
             check > ClassIndex(1) && hold > ClassIndex(1),
-            "new terms have new indices"
+            "new definitions have new indices"
         );
         let check = &settings.classes[check.as_usize()];
         let hold = &settings.classes[hold.as_usize()];
@@ -113,10 +113,10 @@
             (hold.effect, hold.deadline),
             (old.classes[0].effect, old.classes[0].deadline)
         );
-        // The first file again: its classes get their first indices back.
-        reload(&limiter, TOY);
+        // After a reload of the first file its classes have their first indices again.
+        reload(&limiter, EXAMPLE);
         let Event::SettingsChanged { settings } = next(&limiter).await else {
-            panic!("the engine gets the settings")
+            panic!("the engine receives the settings")
         };
         assert_eq!(settings.classes[..2], old.classes[..]);
         assert_eq!(
--- a/src/net/reload/tests.rs
+++ b/src/net/reload/tests.rs
@@ -1,4 +1,4 @@
-//! A sound configuration is applied as a whole, and a faulty one changes nothing.
+//! Tests that a valid configuration is applied completely, and that an invalid one changes nothing.
 
 use super::*;
 use crate::api::ClassIndex;
@@ -7,15 +7,15 @@
 use proptest::prelude::*;
 
 impl ConfigReloader {
-    /// The addresses of the services, to look at and to change.
+    /// Returns the sender of the services' addresses, through which tests read and change them.
     pub(crate) fn addresses(&self) -> &watch::Sender<Addresses> {
         &self.active_config.addresses
     }
 }
 
-const TOY: &str = include_str!("../../../examples/toy.json");
+const EXAMPLE: &str = include_str!("../../../examples/toy.json");
 
-fn read_again(limiter: &Limiter, text: &str) -> Result<Config, ConfigError> {
+fn parse_replacement(limiter: &Limiter, text: &str) -> Result<Config, ConfigError> {
     config::parse_replacement(
         &limiter.reloader().active_config.file.borrow(),
         text,
@@ -23,18 +23,18 @@
     )
 }
 
-/// Requests of a class that the new file lacks are accepted for a short time, and then refused.
+/// Requests of a class that is missing from the new file are accepted during the grace period, and then refused.
 #[test]
-fn sound_file_changes_classes_and_attempts() {
+fn valid_file_changes_classes_and_attempts() {
     with_limiter(&[], |limiter| async move {
-        let text = TOY.replace(
+        let text = EXAMPLE.replace(
             "\"bed-hold\", \"effect\": \"dedup\"",
             "\"hut-hold\", \"effect\": \"fragile\"",
         );
         let text = text.replace("\"sendCap\": 4", "\"sendCap\": 2");
-        limiter.reloader().apply(read_again(&limiter, &text));
+        limiter.reloader().apply(parse_replacement(&limiter, &text));
         let Event::SettingsChanged { settings } = crate::net::tests::next(&limiter).await else {
-            panic!("the engine gets the settings")
+            panic!("the engine receives the settings")
         };
         let names: Vec<_> = settings
             .classes
@@ -58,7 +58,7 @@
             .active_config
             .indices
             .borrow()
-            .accepted(unix_time::now() + ClassIndices::accepted_after_removal());
+            .accepted(unix_time::now() + ClassIndices::removal_grace());
         limiter
             .reloader()
             .active_config
@@ -75,25 +75,25 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 256, rng_seed: proptest::test_runner::RngSeed::Fixed(7), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// A file that is cut off, lacks a line or has a negative number changes nothing.
+    /// A file that is truncated, lacks a line or has a negative number changes nothing.
     #[test]
-    fn faulty_file_changes_nothing(end in 0..TOY.len() - 3, line in 1..TOY.lines().count() - 1, damage in 0..3) {
+    fn invalid_file_changes_nothing(end in 0..EXAMPLE.len() - 3, line in 1..EXAMPLE.lines().count() - 1, damage in 0..3) {
         let broken = match damage {
-            0 => TOY[..end].to_owned(),
-            1 => TOY.lines().enumerate().filter(|(i, _)| *i != line).map(|(_, text)| text.to_owned() + "\n").collect(),
-            _ => TOY.replacen("\"hardLimitNs\": ", "\"hardLimitNs\": -", 1 + end % 2),
+            0 => EXAMPLE[..end].to_owned(),
+            1 => EXAMPLE.lines().enumerate().filter(|(i, _)| *i != line).map(|(_, text)| text.to_owned() + "\n").collect(),
+            _ => EXAMPLE.replacen("\"hardLimitNs\": ", "\"hardLimitNs\": -", 1 + end % 2),
         };
-        // A file without one of these lines is sound; one of them is a whole plan.
-        let missing = TOY.lines().nth(line).unwrap_or_default();
+        // Without one of these lines the file is still valid; the line of `guide` is a complete plan.
+        let missing = EXAMPLE.lines().nth(line).unwrap_or_default();
         let may_be_missing = ["\"seed\"", "\"known\"", "\"guide\""].iter().any(|key| missing.contains(key));
         with_limiter(&[], |limiter| async move {
             let before = (*limiter.reloader().addresses().borrow(), limiter.reloader().active_config.file.borrow().clone());
-            let read = read_again(&limiter, &broken);
-            assert!(read.is_err() || (damage == 1 && may_be_missing), "{broken}");
-            if read.is_ok() {
+            let result = parse_replacement(&limiter, &broken);
+            assert!(result.is_err() || (damage == 1 && may_be_missing), "{broken}");
+            if result.is_ok() {
                 return;
             }
-            limiter.reloader().apply(read);
+            limiter.reloader().apply(result);
             assert_eq!((*limiter.reloader().addresses().borrow(), limiter.reloader().active_config.file.borrow().clone()), before);
             assert!(limiter.engine().take_event().is_none());
         });
--- a/src/net/shutdown.rs
+++ b/src/net/shutdown.rs
@@ -1,6 +1,6 @@
-//! Draining by an operator and the shutdown at SIGTERM.
+//! Draining by an operator and shutdown at SIGTERM.
 //!
-//! The drain controller decides on the phase; this unit announces the phases to the tasks that wait for them. During a
+//! The drain controller determines the phase; this module publishes it to the tasks that wait for a change. During a
 //! shutdown clients are served as before while the load balancer in front still sends new ones. Then connections close
 //! between requests, and the process ends once all accepted requests are answered.
 
@@ -21,55 +21,57 @@
 
 pub use quartzcleat_admin::Phase;
 
-/// How long after the start of a phase the step to it is taken.
-const STEP_MARGIN: Duration = Duration::from_millis(1);
+/// Delay between the start of a phase and its publication: before its start the controller reports the previous phase.
+const PHASE_SWITCH_DELAY: Duration = Duration::from_millis(1);
 
-/// The drain controller, its phase for the tasks that wait for a change, and the number of client connections.
+/// Draining and shutdown of this process, and the number of its client connections.
 pub struct Shutdown {
     controller: RefCell<DrainController>,
-    /// Notified of each order.
+    /// Notified of each operator order and of the start of the shutdown.
     order_changed: Notify,
+    /// Current phase, for the tasks that wait for a change.
     phase: watch::Sender<Phase>,
-    /// No further clients are accepted, for good.
+    /// Whether the process has permanently stopped accepting clients.
     is_closing: watch::Sender<bool>,
-    /// When SIGTERM was received.
-    asked_at: Cell<Option<Instant>>,
+    /// Time at which SIGTERM was received; `None` before.
+    sigterm_at: Cell<Option<Instant>>,
+    /// Number of client connections.
     connections: watch::Sender<usize>,
 }
 
 impl Shutdown {
-    /// A process that serves all clients.
+    /// Creates the state of a process that serves all clients.
     pub fn new(limits: &Limits) -> Self {
         let times = DrainTimes {
-            linger: limits.shutdown.drain_delay.as_nanos() as Nanos,
-            last_call: limits.shutdown.reject_after.as_nanos() as Nanos,
+            drain_delay: limits.shutdown.drain_delay.as_nanos() as Nanos,
+            reject_after: limits.shutdown.reject_after.as_nanos() as Nanos,
         };
         Shutdown {
             controller: RefCell::new(DrainController::new(times)),
             order_changed: Notify::new(),
             phase: watch::Sender::default(),
             is_closing: watch::Sender::default(),
-            asked_at: Cell::default(),
+            sigterm_at: Cell::default(),
             connections: watch::Sender::default(),
         }
     }
 
-    /// The phase.
+    /// Returns the current phase.
     pub fn phase(&self) -> Phase {
         *self.phase.borrow()
     }
 
-    /// A receiver that follows the phase.
+    /// Returns a receiver that follows the phase.
     pub fn subscribe_phase(&self) -> watch::Receiver<Phase> {
         self.phase.subscribe()
     }
 
-    /// A receiver that becomes true when no further clients are accepted, for good.
+    /// Returns a receiver that becomes true when the process permanently stops accepting clients.
     pub fn subscribe_closing(&self) -> watch::Receiver<bool> {
         self.is_closing.subscribe()
     }
 
-    /// Whether no further clients are accepted, for good.
+    /// Whether the process has permanently stopped accepting clients.
     pub fn is_closing(&self) -> bool {
         *self.is_closing.borrow()
     }
@@ -79,41 +81,42 @@
         self.controller.borrow().accepts_clients()
     }
 
-    /// Whether a successor accepts the clients, now that this process shuts down.
+    /// Whether this process is shutting down and a successor already accepted the clients when the shutdown started.
     pub fn has_serving_successor(&self) -> bool {
         self.controller.borrow().has_serving_successor()
     }
 
-    /// The latest operator command on draining.
+    /// Returns the latest operator order on draining.
     pub fn drain_order(&self) -> DrainOrder {
         self.controller.borrow().order()
     }
 
-    /// Drains the clients, by an operator.
+    /// Starts draining, by an operator's order.
     pub fn drain(&self) {
         self.update(|controller| controller.drain(unix_time::now()));
     }
 
-    /// Stops draining, by an operator.
+    /// Stops draining, by an operator's order.
     pub fn undrain(&self) {
         self.update(|controller| controller.undrain(unix_time::now()));
     }
 
-    /// Takes in another process's order on draining.
+    /// Adopts another process's order on draining if it is later than the current one.
     pub fn merge_drain_order(&self, order: DrainOrder) {
         self.update(|controller| {
             controller.merge(order);
         });
     }
 
+    /// Applies `change` to the drain controller, and publishes the resulting phase.
     fn update(&self, change: impl FnOnce(&mut DrainController)) {
         change(&mut self.controller.borrow_mut());
-        self.announce_phase();
+        self.publish_phase();
         self.order_changed.notify_one();
     }
 
-    /// Announces the phase of this moment; returns how long it is until the next one begins.
-    fn announce_phase(&self) -> Option<Duration> {
+    /// Publishes the current phase; returns the time until the next one begins, or `None` if no further phase follows.
+    fn publish_phase(&self) -> Option<Duration> {
         let now = unix_time::now();
         let (status, is_shutting_down) = {
             let controller = self.controller.borrow();
@@ -126,28 +129,27 @@
         Some(Duration::from_nanos(next_at.saturating_sub(now)))
     }
 
-    /// Goes through the phases until the process ends.
+    /// Publishes each phase when it begins, until the process ends.
     async fn follow_phases(self: Rc<Self>) {
         loop {
-            match self.announce_phase() {
+            match self.publish_phase() {
                 None => self.order_changed.notified().await,
-                // A step before the start of the phase would find nothing changed.
                 Some(remaining) => {
-                    let pause = remaining + STEP_MARGIN;
-                    // Whether the time is over or there is an order, the next round looks at both.
+                    let pause = remaining + PHASE_SWITCH_DELAY;
+                    // Both a timeout and an order lead to the next iteration, which determines the phase again.
                     let _ = timeout(pause, self.order_changed.notified()).await;
                 }
             }
         }
     }
 
-    /// When the last answers are given, once SIGTERM was received.
+    /// Returns the time at which requests that are still open are answered; `None` before SIGTERM.
     pub fn last_answers(&self, limits: &Limits) -> Option<Instant> {
-        let asked_at = self.asked_at.get()?;
-        Some(asked_at + limits.shutdown.timeout.get() - limits.shutdown.final_answer_margin.get())
+        let sigterm_at = self.sigterm_at.get()?;
+        Some(sigterm_at + limits.shutdown.timeout.get() - limits.shutdown.final_answer_margin.get())
     }
 
-    /// Counts a client connection until the guard is dropped.
+    /// Counts a client connection until the returned guard is dropped.
     pub fn count_connection(self: &Rc<Self>) -> CountedConnection {
         self.connections.send_modify(|count| *count += 1);
         CountedConnection {
@@ -155,18 +157,18 @@
         }
     }
 
-    /// How many connections clients hold.
+    /// Returns the number of client connections.
     pub fn connections(&self) -> usize {
         *self.connections.borrow()
     }
 
-    /// A receiver that follows the number of client connections.
+    /// Returns a receiver that follows the number of client connections.
     pub fn subscribe_connections(&self) -> watch::Receiver<usize> {
         self.connections.subscribe()
     }
 }
 
-/// A client connection that counts until this is dropped.
+/// Guard of a counted client connection; dropping it ends the count.
 pub struct CountedConnection {
     shutdown: Rc<Shutdown>,
 }
@@ -177,19 +179,20 @@
     }
 }
 
+/// Sets a watched value, and notifies its receivers only if it has changed.
 fn set_if_changed<T: PartialEq>(sender: &watch::Sender<T>, value: T) {
-    sender.send_if_modified(|held| {
-        let has_changed = *held != value;
-        *held = value;
+    sender.send_if_modified(|current| {
+        let has_changed = *current != value;
+        *current = value;
         has_changed
     });
 }
 
-/// Goes through the phases, and waits for SIGTERM. `find_successor` then looks for another process of this limiter that
-/// accepts the clients.
+/// Starts to publish the phases, and to wait for SIGTERM. At SIGTERM `find_successor` determines whether another
+/// process of this limiter accepts the clients.
 ///
 /// # Errors
-/// The signal handler cannot be installed.
+/// Returns an error if the signal handler cannot be installed.
 pub fn watch(
     shutdown: &Rc<Shutdown>,
     find_successor: impl FnOnce() -> Successor + 'static,
@@ -199,7 +202,7 @@
     let shutdown = shutdown.clone();
     spawn(async move {
         terminate.recv().await;
-        shutdown.asked_at.set(Some(Instant::now()));
+        shutdown.sigterm_at.set(Some(Instant::now()));
         let successor = find_successor();
         let other_serves = successor == Successor::Serving;
         tracing::info!(other_serves, "shutdown started");
--- a/src/net/shutdown/tests.rs
+++ b/src/net/shutdown/tests.rs
@@ -1,4 +1,4 @@
-//! Requests that are open while the process shuts down.
+//! Tests with requests that are open while the process shuts down.
 
 use super::*;
 use crate::api::{Event, RequestId};
@@ -11,14 +11,14 @@
 
 const LONG: Duration = Duration::from_secs(60);
 
-/// Starts the shutdown of a process that has to be gone after `timeout`.
+/// Starts the shutdown of a process that must end within `timeout`.
 fn start_shutdown(limiter: &Rc<Limiter>, timeout: Duration) {
     limiter.limits().shutdown.timeout.set(timeout);
-    limiter.shutdown().asked_at.set(Some(Instant::now()));
+    limiter.shutdown().sigterm_at.set(Some(Instant::now()));
 }
 
-/// A request that is accepted after SIGTERM, and whose client waits for longer than the process lives, is answered
-/// before the process ends.
+/// A request that is accepted after SIGTERM, and whose client would wait past the end of the process, has a deadline
+/// before that end.
 #[test]
 fn deadline_of_a_request_after_sigterm_is_before_the_end_of_the_process() {
     with_limiter(&[], |limiter| async move {
@@ -42,7 +42,8 @@
     });
 }
 
-/// A request that is open when the process has to end is answered, with time left for the client to read the answer.
+/// A request that is still open shortly before the process must end is answered, with time left for the client to read
+/// the answer.
 #[test]
 fn open_request_is_answered_before_the_process_ends() {
     with_limiter(&[], |limiter| async move {
@@ -51,7 +52,7 @@
         long_request.wait = LONG;
         accept::accept(limiter.pipeline(), frontend.clone(), 9, long_request);
         assert!(matches!(next(&limiter).await, Event::Request { .. }));
-        // Much time for the client to read the answer, also on a busy machine.
+        // Leaves the client ample time to read the answer, even on a busy machine.
         limiter.limits().shutdown.final_answer_margin.set(LONG);
         start_shutdown(&limiter, LONG + Duration::from_millis(200));
         let connection = limiter.shutdown().count_connection();
--- a/tests/operations/admin.rs
+++ b/tests/operations/admin.rs
@@ -1,4 +1,4 @@
-//! The admin interface under stalled callers and load, and maintenance of a host.
+//! Tests of the admin interface with stalled connections and under load, and of maintenance of a host.
 
 use crate::{limiter_setup, wait_until_served_again};
 use quartzcleat_test_support::commands::{request, send, served, CHECK_FACTS, PING, TOY_HOST};
@@ -8,24 +8,24 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// More callers than the admin interface serves at once.
-const STALLED_CALLERS: usize = 50;
+/// Number of stalled connections: more than the admin interface keeps open.
+const STALLED_CONNECTIONS: usize = 50;
 
-/// Callers that never finish their calls.
-fn stall_callers(limiter: &Limiter) -> Vec<TcpStream> {
-    (0..STALLED_CALLERS)
+/// Opens connections whose requests are never completed.
+fn open_stalled_connections(limiter: &Limiter) -> Vec<TcpStream> {
+    (0..STALLED_CONNECTIONS)
         .map(|number| {
-            let mut caller = TcpStream::connect(limiter.admin).expect("the interface listens");
-            caller
+            let mut connection = TcpStream::connect(limiter.admin).expect("the interface listens");
+            connection
                 .write_all(&b"PUT /drain HTTP/1.1\r\n"[..number % 20])
                 .expect("the interface reads");
-            caller
+            connection
         })
         .collect()
 }
 
-/// Makes valid and malformed calls, of which none changes anything.
-fn make_calls_without_effect(limiter: &Limiter) {
+/// Sends valid and invalid requests, none of which changes anything.
+fn send_requests_without_effect(limiter: &Limiter) {
     for (method, path, body, status) in [
         ("GET", "/ready", "", 200),
         ("GET", "/drain", "", 405),
@@ -45,11 +45,11 @@
 }
 
 #[test]
-fn admin_interface_answers_within_a_second_while_callers_stall() {
+fn admin_interface_answers_within_a_second_while_connections_stall() {
     let limiter = limiter_setup(20).start();
-    let _stalled = stall_callers(&limiter);
+    let _stalled = open_stalled_connections(&limiter);
     let began = Instant::now();
-    make_calls_without_effect(&limiter);
+    send_requests_without_effect(&limiter);
     assert!(
         began.elapsed() < Duration::from_secs(1),
         "after {:?}",
@@ -58,16 +58,16 @@
 }
 
 #[test]
-fn stalled_and_malformed_calls_change_nothing() {
+fn stalled_and_malformed_requests_change_nothing() {
     let limiter = limiter_setup(37).start();
-    let _stalled = stall_callers(&limiter);
-    make_calls_without_effect(&limiter);
+    let _stalled = open_stalled_connections(&limiter);
+    send_requests_without_effect(&limiter);
     let commands = request("Q.ASK", 1, CHECK_FACTS, "") + PING;
     let answers = send(&mut limiter.connect(), &commands, 2);
     assert_eq!(answers, served(1) + "+PONG\r\n");
 }
 
-/// The order may be given again.
+/// The host is disabled twice: a repeated order changes nothing.
 #[test]
 fn host_in_maintenance_gets_no_request_until_it_is_enabled() {
     let limiter = limiter_setup(21).start();
@@ -85,7 +85,7 @@
     wait_until_served_again(&limiter);
 }
 
-/// Sends batches of requests until `is_over`.
+/// Sends batches of requests until `is_over` is set.
 fn saturate(client: u64, address: SocketAddr, is_over: &AtomicBool) {
     const BATCH: u64 = 200;
     let mut stream = TcpStream::connect(address).expect("the limiter listens");
@@ -99,11 +99,11 @@
     }
 }
 
-/// The platform waits for a second.
+/// The platform's own timeout for a request to the admin interface is 1 s.
 #[test]
 fn admin_interface_answers_within_a_second_while_the_limiter_is_saturated() {
     let limiter = limiter_setup(28).start();
-    let _stalled: Vec<TcpStream> = (0..STALLED_CALLERS)
+    let _stalled: Vec<TcpStream> = (0..STALLED_CONNECTIONS)
         .map(|_| TcpStream::connect(limiter.admin).expect("the interface listens"))
         .collect();
     let address = limiter.address;
@@ -120,7 +120,7 @@
             longest = longest.max(began.elapsed());
         }
         is_over.store(true, Ordering::Relaxed);
-        println!("the longest of 20 calls took {longest:?}");
+        println!("the longest of 20 requests took {longest:?}");
         assert!(longest < Duration::from_secs(1), "{longest:?}");
     });
 }
--- a/tests/operations/draining.rs
+++ b/tests/operations/draining.rs
@@ -1,4 +1,4 @@
-//! Draining the clients by an operator.
+//! Tests of draining by an operator.
 
 use crate::limiter_setup;
 use quartzcleat_test_support::commands::{request, send, served, CHECK_FACTS, PING};
@@ -7,7 +7,7 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-/// A limiter that is draining, and a connection from before.
+/// A limiter that is draining, and a connection that was opened before the order.
 struct DrainingLimiter {
     limiter: Limiter,
     earlier_connection: TcpStream,
@@ -15,6 +15,7 @@
 }
 
 impl DrainingLimiter {
+    /// Starts a limiter, serves one request on a connection, and orders draining.
     fn start(number: u8) -> Self {
         let limiter = limiter_setup(number).start();
         let mut earlier_connection = limiter.connect();
@@ -33,9 +34,14 @@
         }
     }
 
-    /// Waits until connections close between requests.
+    /// Waits until the limiter closes the earlier connection.
     fn wait_until_connections_close(&mut self) {
-        assert_eq!(self.earlier_connection.read(&mut [0]).expect("an end"), 0);
+        assert_eq!(
+            self.earlier_connection
+                .read(&mut [0])
+                .expect("the connection ends"),
+            0
+        );
     }
 }
 
@@ -67,16 +73,16 @@
 }
 
 #[test]
-fn connection_that_comes_late_gets_one_answer_and_ends() {
+fn connection_opened_late_gets_one_answer_and_is_closed() {
     let mut draining = DrainingLimiter::start(35);
     draining.wait_until_connections_close();
     let mut late = draining.limiter.connect();
     assert_eq!(send(&mut late, PING, 1), "-ERR draining\r\n");
-    assert_eq!(late.read(&mut [0]).expect("an end"), 0);
+    assert_eq!(late.read(&mut [0]).expect("the connection ends"), 0);
 }
 
 #[test]
-fn limiter_is_back_after_an_order() {
+fn undrained_limiter_accepts_clients_again() {
     let mut draining = DrainingLimiter::start(36);
     draining.wait_until_connections_close();
     let limiter = &draining.limiter;
--- a/tests/operations/hot_restart.rs
+++ b/tests/operations/hot_restart.rs
@@ -1,4 +1,4 @@
-//! A new version beside a running one.
+//! Tests of a new version that takes over from a running one.
 
 use crate::{limiter_setup, wait_until_served_again};
 use quartzcleat_test_support::commands::{
@@ -13,21 +13,22 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// Whether a client uses a connection again.
+/// Whether a client reuses its connection.
 #[derive(Clone, Copy, PartialEq)]
 enum Connections {
     KeepAlive,
     NewForEachRequest,
 }
 
-/// The requests of one client.
+/// Results of one client.
 struct ClientReport {
+    /// Number of requests sent.
     requests: u64,
-    /// Requests on keep-alive connections that the limiter had closed.
+    /// Number of requests that failed because the limiter closed their keep-alive connection.
     cut_off: u64,
 }
 
-/// Sends requests until `is_over`.
+/// Sends one request after another until `is_over` is set.
 fn run_client(
     number: u64,
     connections: Connections,
@@ -54,7 +55,7 @@
                 assert_eq!(String::from_utf8_lossy(&answer), served(id));
                 idle_connection = (connections == Connections::KeepAlive).then_some(stream);
             }
-            // A keep-alive connection may end as the request is on its way; a fresh one may not.
+            // A keep-alive connection may be closed while the request is on its way; a new one may not.
             Err(error) => {
                 assert!(
                     connections == Connections::KeepAlive,
@@ -71,8 +72,8 @@
     }
 }
 
-/// Twenty new versions one after another, under load on new and on keep-alive connections: no request is rejected, cut off or
-/// failed.
+/// Twenty versions take over one after another, under load on new and on keep-alive connections. No request may be
+/// rejected or failed, and none on a new connection may be cut off; at most 20 may be on keep-alive connections.
 #[test]
 fn new_versions_take_over_without_a_request_lost() {
     let mut limiter = limiter_setup(23).start();
@@ -93,7 +94,7 @@
         for number in 0..20 {
             let mut first = limiter.upgrade(number);
             terminate(&first);
-            assert!(first.wait().expect("it ends").success());
+            assert!(first.wait().expect("the process ends").success());
         }
         is_over.store(true, Ordering::Relaxed);
         let mut requests = 0;
@@ -110,7 +111,8 @@
     });
 }
 
-/// How many requests in a row are rejected where both processes reject: new connections come to either.
+/// Number of consecutive rejections after which both processes count as rejecting: new connections are distributed over
+/// both.
 const REJECTIONS_BY_BOTH: usize = 12;
 
 fn wait_until_both_reject(limiter: &Limiter) {
@@ -134,7 +136,7 @@
     }
 }
 
-/// How soon an order to one process holds for the other.
+/// Time within which an order to one process must hold for the other.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(1);
 
 fn wait_until_readiness_is(admin: SocketAddr, status: u16, timeout: Duration) {
@@ -148,11 +150,11 @@
 }
 
 fn kill(process: &mut Child) {
-    process.kill().expect("it is killed");
-    process.wait().expect("it ends");
+    process.kill().expect("the process is killed");
+    process.wait().expect("the process ends");
 }
 
-/// A limiter of two processes. Its fields are of the second one.
+/// A limiter of two processes. The fields of `limiter` describe the second one.
 struct TwoProcesses {
     limiter: Limiter,
     first: Child,
@@ -171,7 +173,7 @@
         }
     }
 
-    /// Kills the second process outright.
+    /// Kills the second process without a shutdown.
     fn kill_second(&mut self) {
         kill(&mut self.limiter.child);
         self.limiter.admin = self.first_admin;
@@ -187,7 +189,7 @@
 }
 
 #[test]
-fn maintenance_ordered_of_the_first_process_holds_for_both() {
+fn maintenance_ordered_at_the_first_process_holds_for_both() {
     let processes = TwoProcesses::start(27);
     let disabled = call_admin(processes.first_admin, "PUT", "/servers/disable", TOY_HOST);
     assert_eq!(disabled, 200);
@@ -195,7 +197,7 @@
 }
 
 #[test]
-fn draining_ordered_of_the_second_process_holds_for_the_first_which_may_end_it() {
+fn draining_ordered_at_the_second_process_holds_for_the_first_which_may_end_it() {
     let processes = TwoProcesses::start(30);
     assert_eq!(processes.limiter.call_admin("PUT", "/drain", ""), 200);
     wait_until_readiness_is(processes.first_admin, 503, ORDER_TIMEOUT);
@@ -203,7 +205,7 @@
     assert_eq!(undrained, 200);
 }
 
-/// The orders that the second process received stand at the first, which goes on as if alone.
+/// Orders that the second process received hold at the first, which continues to serve and to accept orders.
 #[test]
 fn first_process_goes_on_when_the_second_is_killed() {
     let mut processes = TwoProcesses::start(31);
@@ -222,18 +224,18 @@
     wait_until_served_again(&processes.limiter);
 }
 
-/// No other process takes over: as at any planned end it accepts connections for a while.
+/// A process that was killed is no successor: at its shutdown the first process still accepts connections for a while.
 #[test]
 fn first_process_ends_as_if_alone_when_the_second_was_killed() {
     let mut processes = TwoProcesses::start(32);
     processes.kill_second();
     terminate(&processes.first);
     assert_eq!(processes.limiter.answer(PING), "+PONG\r\n");
-    assert!(processes.first.wait().expect("it ends").success());
+    assert!(processes.first.wait().expect("the process ends").success());
 }
 
-/// A first process that holds more than its half of the connections when the second comes, and accepts no more for now,
-/// still hands over: the clients that wait in its queue are served as it ends.
+/// A first process that holds more than its half of the connections when the second starts accepts no more for now. At
+/// its shutdown the clients that wait in its accept queue are served nevertheless.
 #[test]
 fn clients_waiting_for_a_crowded_process_are_served_as_it_ends() {
     let mut limiter = limiter_setup(29)
@@ -244,7 +246,7 @@
         .collect();
     let first_admin = limiter.admin;
     let mut first = limiter.upgrade(71);
-    // Once an order has reached the first process, it knows of the second, and keeps to its half.
+    // Once an order to the second process has reached the first, the first knows of the second and keeps to its half.
     assert_eq!(limiter.call_admin("PUT", "/drain", ""), 200);
     wait_until_readiness_is(first_admin, 503, ANSWER_TIMEOUT);
     assert_eq!(limiter.call_admin("PUT", "/undrain", ""), 200);
@@ -254,10 +256,10 @@
         let waiting: Vec<_> = (0..20)
             .map(|_| scope.spawn(|| limiter.answer(PING)))
             .collect();
-        // The second has served some by now; the others wait in the queue of the first.
+        // The second process serves some of the clients; the others wait in the queue of the first.
         terminate(&first);
         for client in waiting {
-            assert_eq!(client.join().expect("it is answered"), "+PONG\r\n");
+            assert_eq!(client.join().expect("the client is answered"), "+PONG\r\n");
         }
         assert!(
             began.elapsed() < Duration::from_secs(3),
@@ -268,7 +270,7 @@
     kill(&mut first);
 }
 
-/// Maintenance ordered of the earlier process holds at the new one, and an order to the new one ends it.
+/// Maintenance ordered at the earlier process holds at the new one, and an order to the new one ends it.
 #[test]
 fn maintenance_holds_over_a_new_version() {
     let mut limiter = limiter_setup(24).start();
@@ -282,10 +284,11 @@
     wait_until_served_again(&limiter);
 }
 
-/// Replaces a limiter by a new version that starts while discovery is silent.
+/// Replaces a limiter by a new version that starts while discovery does not answer; returns the listener that stands in
+/// for discovery.
 fn upgrade_without_discovery(limiter: &mut Limiter) -> TcpListener {
     let silent = TcpListener::bind("127.0.0.1:0").expect("a port is free");
-    limiter.discovery = silent.local_addr().expect("it has an address");
+    limiter.discovery = silent.local_addr().expect("the listener has an address");
     kill(&mut limiter.upgrade(72));
     silent
 }
@@ -304,11 +307,11 @@
 fn new_version_removes_the_handoff_that_it_took() {
     let mut limiter = limiter_setup(40).start();
     let _silent = upgrade_without_discovery(&mut limiter);
-    let is_of_handoff = |file: &DirEntry| {
+    let is_handoff_file = |file: &DirEntry| {
         let path = file.path();
         let suffix = path.extension();
         suffix.is_some_and(|suffix| suffix == "heritage" || suffix == "draft")
     };
-    let files = std::fs::read_dir(&limiter.folder).expect("the folder is there");
-    assert_eq!(files.flatten().filter(is_of_handoff).count(), 0);
+    let files = std::fs::read_dir(&limiter.folder).expect("the folder exists");
+    assert_eq!(files.flatten().filter(is_handoff_file).count(), 0);
 }
--- a/tests/operations/long_values.rs
+++ b/tests/operations/long_values.rs
@@ -1,4 +1,4 @@
-//! Values that are streamed.
+//! Tests of values that are streamed.
 
 use crate::limiter_setup;
 use quartzcleat_test_support::commands::{request, send, served, CHEAP_FACTS, CHECK_FACTS};
@@ -8,12 +8,12 @@
 use std::io::{Read, Write};
 use std::net::TcpStream;
 
-/// The length of the value that an answer announces.
+/// Reads the head of an answer; returns the length of the value that it announces, in bytes.
 fn announced_length(client: &mut TcpStream) -> usize {
     let mut head = String::new();
     let mut byte = [0];
     while !head.ends_with("\r\n") {
-        client.read_exact(&mut byte).expect("a head");
+        client.read_exact(&mut byte).expect("the head arrives");
         head.push(char::from(byte[0]));
     }
     head.trim_end()
@@ -22,21 +22,21 @@
         .unwrap_or_else(|| panic!("{head}"))
 }
 
-/// The highest resident set size of a limiter's process so far, in kilobytes.
+/// Returns the peak resident set size of a limiter's process so far, in kB.
 fn peak_resident_kilobytes(limiter: &Limiter) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{}/status", limiter.child.id()));
     let status = status.expect("the limiter runs");
     let peak = status
         .lines()
         .find_map(|line| line.strip_prefix("VmHWM:"))
-        .expect("a peak");
+        .expect("the status has a line VmHWM");
     peak.split_whitespace()
         .next()
         .and_then(|text| text.parse().ok())
-        .expect("a size")
+        .expect("the line has a size in kB")
 }
 
-/// The long value of a request.
+/// Returns the long value that the host sends for a request, with the line end after it.
 fn long_value(id: u64) -> Vec<u8> {
     let mut value: Vec<u8> = format!("{id:016x}")
         .bytes()
@@ -47,8 +47,8 @@
     value
 }
 
-/// Forty values of 4 MiB at once, of which all have begun before any is read further: all are complete, the limiter never
-/// holds more than a part of its 48 MB, and the connections serve on.
+/// Forty values of 4 MiB each are streamed at once; all have begun before the first is read to its end. All arrive
+/// complete, the limiter's resident set stays below 32 MiB of its 48 MB, and the connections remain usable.
 #[test]
 fn long_values_are_streamed_within_a_small_memory() {
     let limiter = limiter_setup(25)
@@ -74,12 +74,13 @@
     let peak = peak_resident_kilobytes(&limiter);
     println!("highest resident size: {peak} kB");
     assert!(peak < 32 << 10, "{peak} kB");
-    // The last one: the first has been idle for as long as the others took, which on a busy machine is too long.
+    // The connection that was read last: the first has been idle while the others were read, and on a busy machine it
+    // may have been closed by its idle timeout.
     let answer = send(&mut clients[39], &request("Q.ASK", 99, CHEAP_FACTS, ""), 1);
     assert_eq!(answer, served(99));
 }
 
-/// A value that is shorter or longer than its head says never looks complete to its client.
+/// A value that is shorter or longer than its head announces must never look complete to the client.
 #[test]
 fn malformed_long_value_ends_before_its_announced_length() {
     let limiter = limiter_setup(26).start();
--- a/tests/operations/main.rs
+++ b/tests/operations/main.rs
@@ -1,4 +1,4 @@
-//! Operator commands on a running limiter: maintenance, draining, a new version; and long values.
+//! Tests of operations on a running limiter: maintenance, draining, hot restart and streaming of long values.
 
 mod admin;
 mod draining;
@@ -9,12 +9,13 @@
 use quartzcleat_test_support::limiter::{Limiter, LimiterSetup};
 use std::time::{Duration, Instant};
 
-/// A limiter of this build.
+/// Returns the setup of a limiter that runs this build. Each test uses a `number` of its own.
 fn limiter_setup(number: u8) -> LimiterSetup {
     LimiterSetup::new(env!("CARGO_BIN_EXE_quartzcleat"), number)
 }
 
-/// A host that has been enabled is warming up, so that not every request goes to it; one of the first does.
+/// Sends requests until one is served, for at most 5 s. A host that was just enabled is warming up, so that only some
+/// of the requests go to it.
 fn wait_until_served_again(limiter: &Limiter) {
     let began = Instant::now();
     for id in 100.. {
