--- a/crates/admin/src/drain.rs
+++ b/crates/admin/src/drain.rs
@@ -16,7 +16,7 @@
     /// Connections close between requests.
     Closing,
     /// New requests are rejected.
-    LastCall,
+    Rejecting,
 }
 
 /// A phase, and the time at which the next one begins.
@@ -33,7 +33,7 @@
 pub struct DrainTimes {
     /// Time until [`Phase::Closing`]. Connections are kept until then: the load balancer in front still sends new ones.
     pub drain_delay: Nanos,
-    /// Time until [`Phase::LastCall`].
+    /// Time until [`Phase::Rejecting`].
     pub reject_after: Nanos,
 }
 
@@ -192,7 +192,7 @@
         let rejecting_at = start + self.times.reject_after;
         if now >= rejecting_at {
             PhaseStatus {
-                phase: Phase::LastCall,
+                phase: Phase::Rejecting,
                 next_at: None,
             }
         } else if now >= closing_at {
--- a/crates/admin/src/drain/tests.rs
+++ b/crates/admin/src/drain/tests.rs
@@ -10,27 +10,27 @@
 /// Pairs of drain, undrain and shutdown in either sequence, with the second one in each phase of the first.
 #[test]
 fn pairs_of_orders_lead_to_the_expected_phase() {
-    use Phase::{Closing, LastCall, Serving};
+    use Phase::{Closing, Rejecting, Serving};
     type Action = fn(&mut DrainController, Nanos);
     let drain: Action = DrainController::drain;
     let undrain: Action = DrainController::undrain;
     let shut_down: Action = |controller, at| controller.shut_down(at, Successor::None);
     let hand_over: Action = |controller, at| controller.shut_down(at, Successor::Serving);
     for (first, second, gap, at, phase, accepts_clients, is_shutting_down) in [
-        (drain, drain, 10, 21, LastCall, false, false),
+        (drain, drain, 10, 21, Rejecting, false, false),
         (drain, undrain, 3, 30, Serving, true, false),
         (drain, undrain, 10, 10, Serving, true, false),
         (drain, undrain, 25, 25, Serving, true, false),
         (undrain, drain, 10, 15, Serving, false, false),
         (undrain, drain, 10, 16, Closing, false, false),
-        (drain, shut_down, 10, 20, LastCall, false, true),
+        (drain, shut_down, 10, 20, Rejecting, false, true),
         (drain, shut_down, 2, 5, Serving, false, true),
         (shut_down, drain, 10, 10, Closing, false, true),
-        (shut_down, undrain, 10, 20, LastCall, true, true),
+        (shut_down, undrain, 10, 20, Rejecting, true, true),
         (shut_down, shut_down, 10, 6, Closing, true, true),
         (drain, hand_over, 1, 1, Closing, false, true),
         (hand_over, undrain, 1, 2, Closing, true, true),
-        (hand_over, shut_down, 1, 20, LastCall, true, true),
+        (hand_over, shut_down, 1, 20, Rejecting, true, true),
     ] {
         let mut controller = DrainController::new(TIMES);
         first(&mut controller, 100);
@@ -69,7 +69,7 @@
     assert_eq!(
         controller.status(120),
         PhaseStatus {
-            phase: Phase::LastCall,
+            phase: Phase::Rejecting,
             next_at: None
         }
     );
--- a/src/net/stages/accept.rs
+++ b/src/net/stages/accept.rs
@@ -15,7 +15,7 @@
     mut request: Request,
 ) {
     let arrived = Instant::now();
-    if !pipeline.engine.has_capacity() || pipeline.shutdown.phase() >= Phase::LastCall {
+    if !pipeline.engine.has_capacity() || pipeline.shutdown.phase() >= Phase::Rejecting {
         let retry_after = pipeline.limits.requests.capacity_retry_after.get();
         return frontend.answer(place, Answer::Rejected { retry_after });
     }
