--- a/src/net/limiter.rs
+++ b/src/net/limiter.rs
@@ -201,7 +201,7 @@
     async fn finish(&self) {
         let last = self
             .shutdown
-            .last_answers(&self.limits)
+            .final_answer_deadline(&self.limits)
             .unwrap_or_else(Instant::now);
         let mut connections = self.shutdown.subscribe_connections();
         // Requests that are still open past the time are failed below.
--- a/src/net/shutdown.rs
+++ b/src/net/shutdown.rs
@@ -144,7 +144,7 @@
     }
 
     /// Returns the time at which requests that are still open are answered; `None` before SIGTERM.
-    pub fn last_answers(&self, limits: &Limits) -> Option<Instant> {
+    pub fn final_answer_deadline(&self, limits: &Limits) -> Option<Instant> {
         let sigterm_at = self.sigterm_at.get()?;
         Some(sigterm_at + limits.shutdown.timeout.get() - limits.shutdown.final_answer_margin.get())
     }
--- a/src/net/stages/accept.rs
+++ b/src/net/stages/accept.rs
@@ -24,8 +24,8 @@
         return frontend.answer(place, Answer::Failed);
     }
     // No request may still be open when the process has to be gone.
-    if let Some(last_answers) = pipeline.shutdown.last_answers(&pipeline.limits) {
-        let remaining = last_answers.saturating_duration_since(arrived);
+    if let Some(final_answer_deadline) = pipeline.shutdown.final_answer_deadline(&pipeline.limits) {
+        let remaining = final_answer_deadline.saturating_duration_since(arrived);
         request.wait = request.wait.min(remaining);
     }
     let reply_to = ReplyTo { frontend, place };
