--- a/src/net/hot_restart/mod.rs
+++ b/src/net/hot_restart/mod.rs
@@ -108,7 +108,7 @@
         spawn(async move {
             loop {
                 sleep(hot_restart.limits.hot_restart.poll_interval).await;
-                hot_restart.look();
+                hot_restart.poll_other_processes();
                 hot_restart.publish();
             }
         });
@@ -152,7 +152,7 @@
 
     /// Reads the states that other processes of this limiter published. The orders of a process that has ended still
     /// hold.
-    pub fn look(&self) {
+    pub fn poll_other_processes(&self) {
         let Some(folder) = &self.process.folder else {
             return;
         };
--- a/src/net/limiter.rs
+++ b/src/net/limiter.rs
@@ -123,7 +123,7 @@
             self.start_leases(lease).await?;
         }
         // The list that another process hands over takes precedence over that of the configuration.
-        self.hot_restart.look();
+        self.hot_restart.poll_other_processes();
         self.discovery.restore(&options.known_hosts)?;
         self.start_clients(options.backoff);
         let admin_listener = match options.admin {
@@ -149,7 +149,7 @@
         let hot_restart = self.hot_restart.clone();
         shutdown::watch(&self.shutdown, move || {
             // Another process may have started a moment ago.
-            hot_restart.look();
+            hot_restart.poll_other_processes();
             hot_restart.successor()
         })?;
         self.reloader.watch()?;
