--- a/crates/admin/src/stored.rs
+++ b/crates/admin/src/stored.rs
@@ -18,13 +18,13 @@
 #[derive(Debug, Error)]
 pub enum StoredError {
     /// The text is truncated or malformed.
-    #[error("cannot be read: {0}")]
+    #[error("malformed: {0}")]
     Malformed(#[from] serde_json::Error),
     /// The text has another version of the format.
-    #[error("form {0} is not known here, only {FORMAT_VERSION}")]
+    #[error("format version {0} is not supported, only {FORMAT_VERSION}")]
     UnknownVersion(u32),
     /// The text is from a process of another limiter.
-    #[error("it is of {name} at {listen}")]
+    #[error("written for the limiter {name} at {listen}")]
     OtherLimiter {
         /// Name of that limiter.
         name: String,
--- a/src/net/config/error.rs
+++ b/src/net/config/error.rs
@@ -20,7 +20,7 @@
         source: std::io::Error,
     },
     /// The file is not JSON.
-    #[error("configuration: not JSON: {0}")]
+    #[error("configuration: invalid JSON: {0}")]
     NotJson(#[source] serde_json::Error),
     /// A replacement lacks parts of the configuration in force.
     #[error("{}", join(faults))]
@@ -43,7 +43,7 @@
         text: String,
     },
     /// A count is not a non-negative integer.
-    #[error("{key}: {value} is not a count")]
+    #[error("{key}: {value} is not a non-negative integer")]
     InvalidCount {
         /// Key of the count.
         key: &'static str,
@@ -51,7 +51,7 @@
         value: Value,
     },
     /// A list of names has a member that is not a string.
-    #[error("settings.{key}: {value} is not a name")]
+    #[error("settings.{key}: {value} is not a string")]
     InvalidName {
         /// Key of the list, relative to `settings`.
         key: &'static str,
@@ -59,7 +59,7 @@
         value: Value,
     },
     /// A list of names is not an array.
-    #[error("settings.{key}: {value} is not a list of names")]
+    #[error("settings.{key}: {value} is not an array of strings")]
     InvalidNameList {
         /// Key of the list, relative to `settings`.
         key: &'static str,
@@ -67,7 +67,7 @@
         value: Value,
     },
     /// The time for which hosts keep idle connections is not an integer of nanoseconds.
-    #[error("settings.limits.connIdleNs: cannot read {text:?}")]
+    #[error("settings.limits.connIdleNs: {text:?} is not an integer of nanoseconds")]
     InvalidIdleTimeout {
         /// Text that cannot be parsed.
         text: String,
@@ -82,19 +82,19 @@
         faults: Vec<PairFault>,
     },
     /// The seed is a string, but not a hexadecimal number of at most 64 bits.
-    #[error("seed: {text:?} is not a hexadecimal number")]
+    #[error("seed: {text:?} is not a hexadecimal number of up to 64 bits")]
     InvalidSeed {
         /// Text that cannot be parsed.
         text: String,
     },
     /// The seed is not a string.
-    #[error("seed: {value} is not a text of hexadecimal digits")]
+    #[error("seed: {value} is not a string of hexadecimal digits")]
     SeedNotString {
         /// Value in the file.
         value: Value,
     },
     /// The file allows fewer file descriptors than the connections of each kind need.
-    #[error("limits.sockets: {sockets} is too few, {min} are needed")]
+    #[error("limits.sockets: {sockets} is too few; at least {min} are needed")]
     TooFewSockets {
         /// File descriptors that the file allows.
         sockets: usize,
--- a/src/net/config/tests.rs
+++ b/src/net/config/tests.rs
@@ -89,38 +89,38 @@
     (
         "\"sockets\": 1024",
         "\"sockets\": 1.5",
-        "limits.sockets: 1.5 is not a count",
+        "limits.sockets: 1.5 is not a non-negative integer",
     ),
     (
         "\"sockets\": 1024",
         "\"sockets\": 127",
-        "limits.sockets: 127 is too few, 128 are needed",
+        "limits.sockets: 127 is too few; at least 128 are needed",
     ),
     (
         "\"seed\": \"",
         "\"seed\": \"x",
-        "seed: \"x8c1f30d27a5be964\" is not a hexadecimal number",
+        "seed: \"x8c1f30d27a5be964\" is not a hexadecimal number of up to 64 bits",
     ),
     (
         "\"8c1f30d27a5be964\"",
         "7",
-        "seed: 7 is not a text of hexadecimal digits",
+        "seed: 7 is not a string of hexadecimal digits",
     ),
     ("\"settings\":", "\"setting\":", "settings: missing"),
     (
         "\"zones\": [\"a\"]",
         "\"zones\": [1]",
-        "settings.zones: 1 is not a name",
+        "settings.zones: 1 is not a string",
     ),
     (
         "\"kinds\": [\"toy\"]",
         "\"kinds\": \"a\"",
-        "settings.kinds: \"a\" is not a list of names",
+        "settings.kinds: \"a\" is not an array of strings",
     ),
     (
         "\"connIdleNs\": 30000000000",
         "\"connIdleNs\": \"long\"",
-        "settings.limits.connIdleNs: cannot read \"long\"",
+        "settings.limits.connIdleNs: \"long\" is not an integer of nanoseconds",
     ),
 ];
 
--- a/tests/limiter.rs
+++ b/tests/limiter.rs
@@ -347,7 +347,7 @@
         (
             "\"sockets\": 1024",
             "\"sockets\": -1",
-            "limits.sockets: -1 is not a count",
+            "limits.sockets: -1 is not a non-negative integer",
         ),
         (
             "\"dedup\"",
@@ -355,7 +355,7 @@
             "settings.categories.1.effect: unknown word",
         ),
         ("\"counter\": \"127.0.0.1:7002\",", "", "counter: missing"),
-        ("\"8c1f30d27a5be964\"", "7", "seed: 7 is not a text"),
+        ("\"8c1f30d27a5be964\"", "7", "seed: 7 is not a string"),
     ] {
         let text = EXAMPLE_CONFIG.replacen(from, to, 1);
         let problem = quartzcleat::net::config::parse(&text, |_| None)
