--- a/src/net/resp/close.rs
+++ b/src/net/resp/close.rs
@@ -1,4 +1,4 @@
-//! The end of a connection: bytes received by then are seen, and bytes written are not lost by the close.
+//! Closing of a connection without missing bytes that have already arrived or losing bytes that were written.
 
 use nix::sys::socket::{recv, MsgFlags};
 use std::io;
@@ -8,24 +8,24 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Bytes that are dropped at a time.
+/// Size of the buffer into which discarded bytes are read.
 const DROP_BYTES: usize = 4096;
 
-/// The receive buffer of a socket at this moment.
+/// The state of the receive buffer of a socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SocketState {
-    /// Nothing to read.
+    /// There is nothing to read.
     Empty,
-    /// So many bytes, which were read.
+    /// This many bytes were read.
     Read(usize),
-    /// The other side has closed it, or it is broken.
+    /// The peer has closed the connection, or the connection has failed.
     Closed,
 }
 
-/// Reads the bytes received, past the runtime.
+/// Reads the received bytes directly from the kernel, bypassing the runtime's readiness state.
 ///
-/// The runtime's view of a socket is as old as its last poll of all of them: in between, a command may have arrived on
-/// a connection that is about to be closed, or the end of one about to be used.
+/// The runtime learns about readiness only when it polls the sockets. Since the last poll a command may have arrived on
+/// a connection that is about to be closed, or the peer may have closed a connection that is about to be used.
 pub fn read_now(stream: &TcpStream, buffer: &mut [u8]) -> SocketState {
     match recv(stream.as_raw_fd(), buffer, MsgFlags::MSG_DONTWAIT) {
         Ok(0) => SocketState::Closed,
@@ -37,18 +37,18 @@
     }
 }
 
-/// Closes a connection in order: nothing more is sent, and bytes that are still received are dropped until the other
-/// side closes it too, for `linger` at most.
+/// Closes a connection gracefully: shuts down the sending direction, then discards received bytes until the peer closes
+/// the connection too, for at most `linger`.
 ///
-/// A close over unread bytes resets the connection, and the other side loses the bytes that it has not read yet.
-/// Commands that are received by now get no answer: their sender learns from the end of the connection that they were
-/// not taken.
+/// Closing a socket with unread bytes resets the connection, and the peer loses the bytes that it has not read yet.
+/// Commands received during this time get no answer: their sender learns from the end of the connection that they were
+/// not accepted.
 pub async fn close_in_order(mut stream: TcpStream, linger: Duration) {
     if stream.shutdown().await.is_err() {
         return;
     }
     let mut dropped = [0; DROP_BYTES];
     let drain = async { while stream.read(&mut dropped).await.is_ok_and(|count| count > 0) {} };
-    // A client that sends for longer is reset.
+    // The connection is reset if the peer keeps sending for longer.
     let _ = timeout(linger, drain).await;
 }
--- a/src/net/resp/codec/buffer.rs
+++ b/src/net/resp/codec/buffer.rs
@@ -3,28 +3,28 @@
 use std::io;
 use tokio::io::{AsyncRead, AsyncReadExt};
 
-/// Waits for more bytes. Cancelled while it waits, it has read nothing. The buffer has at least `step` bytes of free
-/// capacity, so that a read that does not fill it needs no further call.
+/// Waits for more bytes and appends them to `buffer`. Cancel-safe: no bytes are read if it is cancelled while waiting.
+/// Reserves at least `chunk_bytes` of free capacity, so that a read that does not fill it needs no further call.
 ///
 /// # Errors
-/// The connection has failed; [`io::ErrorKind::UnexpectedEof`] where the other side has closed it.
+/// The connection has failed; [`io::ErrorKind::UnexpectedEof`] if the peer has closed it.
 pub async fn read_more(
     stream: &mut (impl AsyncRead + Unpin),
     buffer: &mut Vec<u8>,
-    step: usize,
+    chunk_bytes: usize,
 ) -> io::Result<()> {
-    buffer.reserve(step);
+    buffer.reserve(chunk_bytes);
     match stream.read_buf(buffer).await? {
         0 => Err(io::ErrorKind::UnexpectedEof.into()),
         _ => Ok(()),
     }
 }
 
-/// Removes the first bytes of a buffer. An empty buffer of more than twice `keep` bytes releases its memory, which a
-/// long message needed.
-pub fn consume(buffer: &mut Vec<u8>, count: usize, keep: usize) {
+/// Removes the first `count` bytes of a buffer. If it is then empty and its capacity exceeds twice `retained_bytes`, as
+/// after a long message, its memory is released.
+pub fn consume(buffer: &mut Vec<u8>, count: usize, retained_bytes: usize) {
     buffer.drain(..count);
-    if buffer.is_empty() && buffer.capacity() > 2 * keep {
+    if buffer.is_empty() && buffer.capacity() > 2 * retained_bytes {
         *buffer = Vec::new();
     }
 }
--- a/src/net/resp/codec/command.rs
+++ b/src/net/resp/codec/command.rs
@@ -1,4 +1,4 @@
-//! Commands: arrays of bulk strings.
+//! Parsing of commands, which are arrays of bulk strings.
 
 use super::cursor::{complete, Cursor, Malformed, ParseError};
 use crate::net::config::Limits;
@@ -6,16 +6,16 @@
 
 const NOT_BULK_STRINGS: &str = "a command is an array of bulk strings";
 
-/// A complete command: the ranges of its arguments in the buffer, and its length.
+/// A complete command at the start of a buffer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Command {
-    /// The arguments; `None` for a null, which no sound command contains.
+    /// The ranges of the arguments in the buffer; `None` for a null, which no valid command contains.
     pub arguments: Vec<Option<Range<usize>>>,
-    /// Bytes that it takes up in the buffer.
+    /// Length of the command, in bytes.
     pub length: usize,
 }
 
-/// Parses the command at the start of `bytes`; `None` where it is incomplete.
+/// Parses the command at the start of `bytes`; returns `None` while it is incomplete.
 ///
 /// # Errors
 /// The bytes are malformed or exceed a limit.
@@ -39,7 +39,7 @@
         expect_kind(cursor, b'$')?;
         let argument = cursor.bulk();
         if argument == Err(ParseError::Incomplete) {
-            // A command that exceeds the longest message already is not waited for.
+            // A command that already exceeds the maximum message length is rejected without waiting for the rest.
             cursor.check_received_length()?;
         }
         arguments.push(argument?);
--- a/src/net/resp/codec/cursor.rs
+++ b/src/net/resp/codec/cursor.rs
@@ -1,27 +1,27 @@
-//! A position in the bytes received, and the elements of RESP2 that are parsed there.
+//! A cursor over the received bytes that parses the elements of RESP2.
 
 use crate::net::config::Limits;
 use std::ops::Range;
 use thiserror::Error;
 
-/// The longest line (a length, a status or an error), in bytes.
+/// Maximum length of a line (a length, a simple string or an error), in bytes.
 const MAX_LINE_BYTES: usize = 1024;
 
-/// The most digits of a length.
+/// Maximum number of digits of a length.
 const MAX_LENGTH_DIGITS: usize = 9;
 
 /// The bytes that end a line.
 pub(super) const LINE_END: &[u8] = b"\r\n";
 
-/// Why bytes are no message. The text is sent to clients.
+/// The reason why bytes are not a valid message. For a command, the text is sent to the client.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 #[error("{0}")]
 pub struct Malformed(pub &'static str);
 
-/// Why there is no message at the start of the bytes received.
+/// The reason why there is no message at the start of the received bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ParseError {
-    /// The bytes are the start of a message.
+    /// The bytes are the start of a message whose end has not been received.
     Incomplete,
     /// The bytes can never become a message.
     Malformed(Malformed),
@@ -34,13 +34,13 @@
 }
 
 impl ParseError {
-    /// The error that a reason stands for.
+    /// Returns the error for malformed bytes.
     pub(super) fn malformed(reason: &'static str) -> Self {
         ParseError::Malformed(Malformed(reason))
     }
 }
 
-/// The result of a parser; `None` where the message is incomplete.
+/// Converts the result of a parser; returns `None` if the message is incomplete.
 ///
 /// # Errors
 /// The bytes are malformed.
@@ -52,7 +52,7 @@
     }
 }
 
-/// A position in the bytes received. Elements that are parsed move it behind them.
+/// A position in the received bytes. Parsing an element moves the position past it.
 pub(super) struct Cursor<'a> {
     bytes: &'a [u8],
     position: usize,
@@ -60,7 +60,7 @@
 }
 
 impl<'a> Cursor<'a> {
-    /// The start of the bytes received.
+    /// Creates a cursor at the start of `bytes`.
     pub(super) fn new(bytes: &'a [u8], limits: &'a Limits) -> Self {
         Cursor {
             bytes,
@@ -69,17 +69,17 @@
         }
     }
 
-    /// How many bytes were parsed.
+    /// Returns the number of bytes parsed so far.
     pub(super) fn position(&self) -> usize {
         self.position
     }
 
-    /// The bytes that a parsed element stands for.
+    /// Returns the bytes of a parsed element.
     pub(super) fn text(&self, range: Range<usize>) -> &'a [u8] {
         &self.bytes[range]
     }
 
-    /// The type of the next element.
+    /// Parses the type byte of the next element.
     pub(super) fn kind(&mut self) -> Result<u8, ParseError> {
         let kind = *self
             .bytes
@@ -89,7 +89,7 @@
         Ok(kind)
     }
 
-    /// The next line, without its end.
+    /// Parses the next line; the range excludes the line end.
     pub(super) fn line(&mut self) -> Result<Range<usize>, ParseError> {
         let remaining = &self.bytes[self.position..];
         let window = &remaining[..remaining.len().min(MAX_LINE_BYTES)];
@@ -119,7 +119,7 @@
         }
     }
 
-    /// A length of `max_length` at most; `None` stands for null.
+    /// Parses a length of at most `max_length`; returns `None` for null.
     pub(super) fn length(&mut self, max_length: usize) -> Result<Option<usize>, ParseError> {
         let line = self.line()?;
         let digits = &self.bytes[line];
@@ -139,7 +139,7 @@
         Ok(Some(length))
     }
 
-    /// The part of a bulk string behind its `$`; `None` stands for null.
+    /// Parses a bulk string after its `$`; returns `None` for null.
     pub(super) fn bulk(&mut self) -> Result<Option<Range<usize>>, ParseError> {
         let Some(length) = self.length(self.limits.codec.max_value_bytes)? else {
             return Ok(None);
@@ -159,12 +159,12 @@
         Ok(Some(text))
     }
 
-    /// Checks that the bytes parsed so far do not exceed the longest message.
+    /// Checks that the bytes parsed so far do not exceed the maximum message length.
     pub(super) fn check_parsed_length(&self) -> Result<(), Malformed> {
         self.check_length(self.position)
     }
 
-    /// Checks that all bytes received do not exceed the longest message.
+    /// Checks that the bytes received so far do not exceed the maximum message length.
     pub(super) fn check_received_length(&self) -> Result<(), Malformed> {
         self.check_length(self.bytes.len())
     }
@@ -177,7 +177,7 @@
     }
 }
 
-/// The number that decimal digits stand for.
+/// Returns the value of ASCII decimal digits. The caller checks that they are digits and that the value fits.
 pub(super) fn parse_digits(digits: &[u8]) -> usize {
     digits
         .iter()
--- a/src/net/resp/codec/mod.rs
+++ b/src/net/resp/codec/mod.rs
@@ -1,7 +1,7 @@
-//! RESP2: an incremental parser for commands and replies, and a writer.
+//! RESP2 codec: parsers for commands and replies, and a writer.
 //!
-//! Both parsers look at all bytes received so far. `Ok(None)` means that the message is incomplete. Malformed bytes can
-//! never become a message, and the bytes behind them on the connection cannot be parsed.
+//! Both parsers are given all bytes received so far and return `Ok(None)` while the message is incomplete. Malformed
+//! bytes can never become a message, and the bytes after them on the connection cannot be parsed.
 
 mod buffer;
 mod command;
--- a/src/net/resp/codec/reply.rs
+++ b/src/net/resp/codec/reply.rs
@@ -1,43 +1,43 @@
-//! Replies, and the head of a reply whose value is streamed.
+//! Parsing of replies, and of the header of a reply whose value is streamed.
 
 use super::cursor::{complete, parse_digits, Cursor, Malformed, ParseError, LINE_END};
 use crate::net::config::Limits;
 use std::ops::Range;
 
-/// How deep arrays may nest.
+/// Maximum nesting depth of arrays.
 const MAX_DEPTH: usize = 4;
 
-/// The start of a served answer, up to the length of its value.
+/// The first bytes of a served answer, up to the length of its value.
 const VALUE_PREFIX: &[u8] = b"*3\r\n$";
 
-/// The end of the digits of a value's length is looked for within this many bytes.
+/// Number of bytes within which the length of a value must end.
 const VALUE_LENGTH_BYTES: usize = 10;
 
-/// A complete reply; texts are ranges of the buffer.
+/// A complete reply. Texts are ranges of the buffer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// `+...`
+    /// A simple string: `+...`.
     Simple(Range<usize>),
-    /// `-...`
+    /// An error: `-...`.
     Error(Range<usize>),
-    /// `:...`
+    /// An integer: `:...`.
     Integer(i64),
-    /// A bulk string, or null.
+    /// A bulk string; `None` for null.
     Bulk(Option<Range<usize>>),
-    /// An array, or null.
+    /// An array; `None` for null.
     Array(Option<Vec<Reply>>),
 }
 
-/// A complete reply at the start of some bytes.
+/// A complete reply at the start of a buffer, and its length.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ParsedReply {
-    /// The reply.
+    /// The reply, whose ranges refer to the buffer.
     pub reply: Reply,
-    /// Bytes that it takes up in the buffer.
+    /// Length of the reply, in bytes.
     pub length: usize,
 }
 
-/// Parses the reply at the start of `bytes`; `None` where it is incomplete.
+/// Parses the reply at the start of `bytes`; returns `None` while it is incomplete.
 ///
 /// # Errors
 /// The bytes are malformed or exceed a limit.
@@ -60,7 +60,8 @@
 
 struct ReplyParser<'a> {
     cursor: Cursor<'a>,
-    /// How many members all arrays together may still have: a few bytes can announce a lot of memory.
+    /// Number of members that all arrays together may still have. Bounds the allocation, since a few bytes can announce
+    /// arrays of any size.
     members_left: usize,
 }
 
@@ -84,7 +85,7 @@
             .ok_or(ParseError::malformed("not an integer"))
     }
 
-    /// The members of an array; `None` stands for null.
+    /// Parses the members of an array; returns `None` for null.
     fn members(&mut self, depth: usize) -> Result<Option<Vec<Reply>>, ParseError> {
         let Some(count) = self.cursor.length(self.members_left)? else {
             return Ok(None);
@@ -98,16 +99,16 @@
     }
 }
 
-/// The head of a served answer up to its value.
+/// The header of a served answer, up to its value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ValueHead {
-    /// Length of the head, in bytes.
+    /// Length of the header, in bytes.
     pub head_bytes: usize,
     /// Length of the value, in bytes.
     pub value_bytes: usize,
 }
 
-/// The head of a served answer, as soon as it has been received.
+/// Parses the header of a served answer; returns `None` if it is incomplete or the bytes are no such header.
 pub fn value_head(bytes: &[u8]) -> Option<ValueHead> {
     let remaining = bytes.strip_prefix(VALUE_PREFIX)?;
     let end = remaining
--- a/src/net/resp/downstream/closing.rs
+++ b/src/net/resp/downstream/closing.rs
@@ -1,6 +1,4 @@
-//! When the limiter closes a client connection.
-//!
-//! Knows no sockets.
+//! The decision when to close a client connection, independent of sockets.
 
 use super::input::InputState;
 use super::response_queue::CollectOutcome;
@@ -9,10 +7,10 @@
 #[cfg(test)]
 mod tests;
 
-/// Whether a connection was accepted within the limit on connections.
+/// Whether a connection was accepted within the connection limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Admission {
-    /// Its requests are served.
+    /// It was accepted within the limit: its requests are served.
     Served,
     /// It was accepted past the limit: its requests are rejected, and it closes after its first responses.
     Rejected,
@@ -21,55 +19,55 @@
 /// How a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConnectionEnd {
-    /// The limiter closes it, with nothing of its responses unsent.
+    /// The limiter closes it, and no collected bytes are unsent.
     Orderly,
-    /// Its client has gone, or takes nothing any more.
+    /// The client has gone or no longer accepts bytes, or the connection has failed.
     Lost,
 }
 
-/// Whether a connection is closed at this moment.
+/// Whether to close a connection now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CloseDecision {
-    /// It stays open.
+    /// The connection stays open.
     Keep,
-    /// It is closed.
+    /// The connection is closed.
     Close,
-    /// It is closed, unless the client has sent another command by now.
+    /// The connection is closed, unless more bytes have been received from the client in the meantime.
     CloseUnlessReceived,
 }
 
-/// The work that a connection has done and has still to do.
+/// The progress of a connection in reading commands and sending responses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Progress {
-    /// The bytes received and not parsed.
+    /// The state of the received bytes that are not parsed yet.
     pub(super) input: InputState,
-    /// Where the collection of responses ended.
+    /// The reason why collecting responses stopped.
     pub(super) collected: CollectOutcome,
-    /// The client has taken everything that was collected.
+    /// Whether all collected bytes have been written.
     pub(super) is_output_empty: bool,
-    /// A response is pending.
+    /// Whether a response is pending.
     pub(super) has_pending_response: bool,
-    /// A response has been collected completely.
+    /// Whether a response has been collected completely.
     pub(super) has_responded: bool,
 }
 
 impl Progress {
-    /// Whether every command received has its response, and the client has taken it.
+    /// Returns whether every handled command has its response and all responses have been written.
     pub(super) fn is_between_requests(self) -> bool {
         self.is_output_empty && !self.has_pending_response
     }
 }
 
-/// How a connection stands to the shutdown and to the limit on connections.
+/// The properties of a connection that decide when it is closed.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ClosePolicy {
     admission: Admission,
-    /// The phase of the limiter in which it was accepted.
+    /// Phase of the limiter in which the connection was accepted.
     accepted_in: Phase,
 }
 
 impl ClosePolicy {
-    /// The policy of a connection that was accepted in a phase of the limiter.
+    /// Creates the policy of a connection that was accepted in the phase `accepted_in` of the limiter.
     pub(super) fn new(admission: Admission, accepted_in: Phase) -> Self {
         ClosePolicy {
             admission,
@@ -77,14 +75,14 @@
         }
     }
 
-    /// Whether the connection was accepted within the limit on connections.
+    /// Returns whether the connection was accepted within the connection limit.
     pub(super) fn admission(self) -> Admission {
         self.admission
     }
 
-    /// Decides whether a connection is closed in a phase of the limiter.
+    /// Decides whether to close the connection in a phase of the limiter.
     pub(super) fn decide(self, progress: Progress, phase: Phase) -> CloseDecision {
-        // The client can tell by the early end that a value is not complete.
+        // The client detects by the early end of the connection that the value is incomplete.
         if progress.collected == CollectOutcome::BodyFailed && progress.is_output_empty {
             return CloseDecision::Close;
         }
@@ -100,9 +98,9 @@
         }
     }
 
-    /// Whether the connection closes as soon as it is between requests: clients are being drained, or it was accepted
-    /// past the limit. Commands that were received together are all answered first. A connection that was accepted
-    /// while clients are being drained, or past the limit, does not close before its first command.
+    /// Returns whether the connection closes as soon as it is between requests, because clients are being drained or it
+    /// was accepted past the limit. Commands that were received together are all answered first. A connection that was
+    /// accepted during the drain or past the limit does not close before its first response.
     fn is_closed_between_requests(self, progress: Progress, phase: Phase) -> bool {
         let was_accepted_before = self.accepted_in < Phase::Closing;
         let is_drained = phase >= Phase::Closing && (progress.has_responded || was_accepted_before);
--- a/src/net/resp/downstream/closing/tests.rs
+++ b/src/net/resp/downstream/closing/tests.rs
@@ -1,4 +1,4 @@
-//! The decision to close a connection.
+//! When a connection is closed.
 
 use super::*;
 
--- a/src/net/resp/downstream/connection.rs
+++ b/src/net/resp/downstream/connection.rs
@@ -1,4 +1,4 @@
-//! One client connection: commands are handled as they arrive, their responses sent in the order of the commands.
+//! A client connection: handles commands as they arrive and sends the responses in the order of the commands.
 
 use super::closing::{Admission, CloseDecision, ClosePolicy, ConnectionEnd, Progress};
 use super::idle_connections::{Activity, IdleTimer, Usage};
@@ -24,7 +24,7 @@
 const DRAINING: &str = "draining";
 const TOO_MANY_COMMANDS: &str = "too many commands wait on this connection";
 
-/// Serves a connection to its end, and closes it.
+/// Serves a connection until it ends, and closes it.
 pub(super) async fn serve(
     downstream: &Rc<Downstream>,
     mut stream: TcpStream,
@@ -39,8 +39,8 @@
     }
     drop(connection);
     responses.abandon(&*context.handler);
-    // Past the limit a connection closes at once: while it lingered for its client, other clients would wait for its
-    // descriptor. Behind malformed bytes a reset may then take the last response along.
+    // At the connection limit a connection closes at once: if it lingered for its client, other clients would wait for
+    // its file descriptor. After malformed bytes, the resulting reset may discard the last response.
     let has_capacity =
         context.shutdown.connections() < context.limits.downstream_connection_share();
     if end == ConnectionEnd::Orderly && has_capacity {
@@ -48,13 +48,13 @@
     }
 }
 
-/// The next step of a connection.
+/// What a connection does next.
 enum Step {
-    /// It ends.
+    /// The connection ends.
     End(ConnectionEnd),
-    /// There is more to do at once.
+    /// There is more to do without waiting.
     Again,
-    /// It waits for the client, a response or a time-out.
+    /// The connection waits for the client, a response, a time-out or a change of phase.
     Wait,
 }
 
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Does all that can be done without waiting.
+    /// Does everything that is possible without waiting, and decides what comes next.
     fn step(&mut self) -> Step {
         self.handle_commands();
         let collected = self.output.collect(&self.responses);
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Handles the complete commands received, as long as not too much is unsent.
+    /// Handles the complete commands received, until malformed bytes or too many unsent bytes.
     fn handle_commands(&mut self) {
         let limits = self.limits();
         let mut consumed = 0;
@@ -174,7 +174,7 @@
         }
     }
 
-    /// Answers whether the load balancer in front may send clients.
+    /// Tells the load balancer in front of the limiter whether the limiter accepts clients.
     fn handle_ping(&self) {
         if self.downstream.context.shutdown.accepts_clients() {
             self.respond(PONG);
@@ -183,8 +183,8 @@
         }
     }
 
-    /// Hands a request in, or rejects it past a limit. Without the limit on pipelined requests the end of a client
-    /// would not be noticed behind commands that are not read.
+    /// Passes a request to the handler, or rejects it if a limit is exceeded. Pipelined requests past the limit are
+    /// rejected instead of left unread, since the disconnect of a client would not be noticed behind unread commands.
     fn handle_request(&self, request: Request) {
         let context = &self.downstream.context;
         let is_pipeline_full =
@@ -204,7 +204,7 @@
         self.responses.push(Response::Ready(response.to_vec()));
     }
 
-    /// Closes the connection between two requests, unless the socket holds another command by now.
+    /// Closes the connection between two requests, unless the socket has received more bytes in the meantime.
     fn close_unless_received(&mut self) -> ControlFlow<ConnectionEnd> {
         match self.input.read_now() {
             SocketState::Read(_) => ControlFlow::Continue(()),
@@ -239,7 +239,7 @@
         }
     }
 
-    /// Waits until there is something to do, or the connection has ended.
+    /// Waits until there is something to do or the connection has ended.
     async fn wait(&mut self) -> ControlFlow<ConnectionEnd> {
         const CONTINUE: ControlFlow<ConnectionEnd> = ControlFlow::Continue(());
         const LOST: ControlFlow<ConnectionEnd> = ControlFlow::Break(ConnectionEnd::Lost);
@@ -250,7 +250,7 @@
         let has_unwritten = self.output.has_unwritten();
         let stalled_at = self.output.stalled_at(limits);
         tokio::select! {
-            // Bytes from the client go first: a connection is not closed on a command that is there to be read.
+            // Input is polled first, so that a connection is not closed while a command can be read from it.
             biased;
             received = self.input.receive(read_mode, limits) => match received {
                 ReceiveOutcome::Received => CONTINUE,
@@ -266,7 +266,7 @@
     }
 }
 
-/// Waits until there may be more of a value.
+/// Waits until more of a streamed value may be available; never returns without one.
 async fn wait_for_body(body: Option<&StreamingBody>) {
     match body {
         Some(body) => body.filled().await,
--- a/src/net/resp/downstream/idle_connections.rs
+++ b/src/net/resp/downstream/idle_connections.rs
@@ -1,4 +1,4 @@
-//! The idle connections: how long they may be idle, and the order in which they are evicted for other clients.
+//! Idle client connections: their time-outs, and the order in which they are evicted to make room for other clients.
 
 use crate::net::config::Limits;
 use crate::net::resp::eviction::Eviction;
@@ -9,35 +9,35 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep_until, Instant};
 
-/// Where a connection stands among the idle ones.
+/// The position of a connection in the eviction order: by time, then by serial number.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct IdlePlace {
+struct EvictionKey {
     since: Instant,
     serial: u64,
 }
 
-/// The connections that wait for a command; the first one is evicted first.
+/// The connections that wait for a command, in the order of their eviction.
 #[derive(Default)]
 pub(super) struct IdleConnections {
-    waiting: RefCell<BTreeMap<IdlePlace, Rc<Notify>>>,
+    waiting: RefCell<BTreeMap<EvictionKey, Rc<Notify>>>,
     next_serial: Cell<u64>,
 }
 
 impl IdleConnections {
-    /// Adds a connection that waits since a moment; `evicted` is notified when it is evicted.
-    fn add(&self, since: Instant, evicted: &Rc<Notify>) -> IdlePlace {
+    /// Adds a connection that has been idle since `since`; `evicted` is notified when it is evicted.
+    fn add(&self, since: Instant, evicted: &Rc<Notify>) -> EvictionKey {
         let serial = self.next_serial.get();
         self.next_serial.set(serial + 1);
-        let place = IdlePlace { since, serial };
-        self.waiting.borrow_mut().insert(place, evicted.clone());
-        place
+        let key = EvictionKey { since, serial };
+        self.waiting.borrow_mut().insert(key, evicted.clone());
+        key
     }
 
-    fn remove(&self, place: IdlePlace) {
-        self.waiting.borrow_mut().remove(&place);
+    fn remove(&self, key: EvictionKey) {
+        self.waiting.borrow_mut().remove(&key);
     }
 
-    /// Evicts the first connection.
+    /// Evicts the first connection in the eviction order.
     pub(super) fn evict_first(&self) -> Eviction {
         let first = self.waiting.borrow_mut().pop_first();
         match first {
@@ -50,10 +50,10 @@
     }
 }
 
-/// The activity of a connection.
+/// What a connection is doing.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Activity {
-    /// A response is pending.
+    /// A response is pending or unsent.
     Busy,
     /// Nothing of the next command has been received.
     Idle,
@@ -61,76 +61,80 @@
     PartialCommand,
 }
 
-/// Whether a connection was ever used.
+/// Whether a connection has had a response.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Usage {
-    /// No response was collected yet.
+    /// No response has been collected yet.
     New,
-    /// It has had a response.
+    /// At least one response has been collected.
     Used,
 }
 
-/// How long one connection has been idle, or in the middle of a command.
+/// The timer of how long a connection has been idle or in the middle of a command.
 pub(super) struct IdleTimer {
     idle_connections: Rc<IdleConnections>,
     activity: Activity,
+    /// When the current activity began; for a new connection, when it was accepted.
     since: Instant,
-    /// It has sent no complete command yet.
+    /// Whether it has sent no complete command yet.
     is_new: bool,
-    place: Option<IdlePlace>,
+    /// Key among the idle connections; `None` while it is busy.
+    eviction_key: Option<EvictionKey>,
+    /// Notified when the connection is evicted.
     evicted: Rc<Notify>,
 }
 
 impl IdleTimer {
-    /// The timer of a connection that was just accepted.
+    /// Creates the timer of a connection that was just accepted.
     pub(super) fn new(idle_connections: Rc<IdleConnections>) -> Self {
         IdleTimer {
             idle_connections,
             activity: Activity::Busy,
             since: Instant::now(),
             is_new: true,
-            place: None,
+            eviction_key: None,
             evicted: Rc::new(Notify::new()),
         }
     }
 
-    /// Records the connection's activity.
+    /// Records the activity of the connection, and restarts the timer when it changes.
     pub(super) fn update(&mut self, activity: Activity, usage: Usage, limits: &Limits) {
         let is_new = self.is_new && usage == Usage::New && activity != Activity::Busy;
         if activity == self.activity && is_new == self.is_new {
             return;
         }
-        // The time of a new connection runs from its start, also once a part of a command was received.
+        // The timer of a new connection runs from its start and is not restarted by a partial command.
         if !is_new {
             self.since = Instant::now();
         }
         self.activity = activity;
         self.is_new = is_new;
-        self.leave_place();
+        self.deregister();
         if activity != Activity::Busy {
-            self.enter_place(limits);
+            self.register(limits);
         }
     }
 
-    /// Takes a place among the idle connections. A new connection is evicted ahead of those that were used.
-    fn enter_place(&mut self, limits: &Limits) {
+    /// Adds the connection to the idle ones. A new connection counts as idle for `unused_eviction_advance` longer, so
+    /// that it is evicted before connections that were used.
+    fn register(&mut self, limits: &Limits) {
         let advance = if self.is_new {
             limits.downstream.unused_eviction_advance
         } else {
             Duration::ZERO
         };
         let since = self.since.checked_sub(advance).unwrap_or(self.since);
-        self.place = Some(self.idle_connections.add(since, &self.evicted));
+        self.eviction_key = Some(self.idle_connections.add(since, &self.evicted));
     }
 
-    fn leave_place(&mut self) {
-        if let Some(place) = self.place.take() {
-            self.idle_connections.remove(place);
+    fn deregister(&mut self) {
+        if let Some(key) = self.eviction_key.take() {
+            self.idle_connections.remove(key);
         }
     }
 
-    /// Waits until the connection has been idle for too long, or is evicted. Without these bounds silent connections,
-    /// commands that never end and clients that never return would hold the descriptors.
+    /// Waits until the connection has been idle for too long, or is evicted. Without these time-outs, connections that
+    /// stay unused, commands that are never completed and clients that never return would occupy file descriptors.
     pub(super) async fn expired(&self, limits: &Limits) {
         let allowed = match self.activity {
             Activity::Busy => return std::future::pending().await,
@@ -146,6 +150,6 @@
 
 impl Drop for IdleTimer {
     fn drop(&mut self) {
-        self.leave_place();
+        self.deregister();
     }
 }
--- a/src/net/resp/downstream/input.rs
+++ b/src/net/resp/downstream/input.rs
@@ -1,4 +1,4 @@
-//! The input of a client connection: the bytes that are not parsed yet, and the reading of more.
+//! The input of a client connection: reads bytes and buffers them until they are parsed.
 
 use crate::net::config::Limits;
 use crate::net::resp::close::{self, SocketState};
@@ -7,51 +7,51 @@
 use tokio::net::tcp::ReadHalf;
 use tokio::time::sleep;
 
-/// Bytes that are read, or dropped, at a time past the parser.
+/// Size of the buffer for reads that bypass the runtime and for discarded bytes.
 const READ_NOW_BYTES: usize = 4096;
 
-/// How a connection is read.
+/// How the bytes that a client sends are handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReadMode {
-    /// Commands.
+    /// They are read and parsed as commands.
     Commands,
-    /// The bytes behind malformed ones, which are dropped.
+    /// They are discarded, since they follow malformed bytes.
     Discard,
-    /// Nothing: too much is unsent. The client's end is still noticed.
+    /// They are left unread, since too many bytes are unsent. The end of the stream is still noticed.
     Paused,
 }
 
-/// The state of the bytes that were received and not parsed.
+/// The state of the received bytes that are not parsed yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum InputState {
     /// There are none.
     Empty,
-    /// They are a part of a command, or commands that wait until less is unsent.
+    /// They are the start of a command, or commands that are not handled until fewer bytes are unsent.
     PartialCommand,
     /// They are malformed, or follow malformed bytes.
     Malformed,
 }
 
-/// How a wait for the client ends.
+/// The outcome of waiting for bytes from the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReceiveOutcome {
     /// Bytes were received.
     Received,
-    /// The client has gone.
+    /// The client has closed the connection, or the connection has failed.
     ClientGone,
 }
 
-/// The bytes that a client has sent.
+/// The input buffer of a client connection.
 pub(super) struct Input<'a> {
     reader: ReadHalf<'a>,
     /// Bytes received and not parsed yet.
     bytes: Vec<u8>,
-    /// Malformed bytes were received; nothing behind them can be parsed.
+    /// Whether malformed bytes were received, after which nothing can be parsed.
     is_malformed: bool,
 }
 
 impl<'a> Input<'a> {
-    /// An input that has received nothing.
+    /// Creates an empty input.
     pub(super) fn new(reader: ReadHalf<'a>) -> Self {
         Input {
             reader,
@@ -60,12 +60,12 @@
         }
     }
 
-    /// The bytes that are not parsed yet.
+    /// Returns the bytes that are not parsed yet.
     pub(super) fn bytes(&self) -> &[u8] {
         &self.bytes
     }
 
-    /// The state of the bytes that are not parsed yet.
+    /// Returns the state of the bytes that are not parsed yet.
     pub(super) fn state(&self) -> InputState {
         if self.is_malformed {
             InputState::Malformed
@@ -81,12 +81,12 @@
         self.is_malformed = true;
     }
 
-    /// Removes bytes that are parsed.
+    /// Removes the first `count` bytes, which have been parsed.
     pub(super) fn consume(&mut self, count: usize, limits: &Limits) {
         codec::consume(&mut self.bytes, count, limits.codec.read_chunk_bytes);
     }
 
-    /// Reads the bytes that the socket holds at this moment.
+    /// Reads the bytes that the socket has received, bypassing the runtime.
     pub(super) fn read_now(&mut self) -> SocketState {
         let mut received = [0; READ_NOW_BYTES];
         let state = close::read_now(self.reader.as_ref(), &mut received);
@@ -96,8 +96,8 @@
         state
     }
 
-    /// Waits until bytes were received, or the client has gone. The end of a client is noticed also while nothing is
-    /// read, so that no request is forwarded long after its client left.
+    /// Waits until bytes are received or the client has gone. A disconnect is noticed even while nothing is read, so
+    /// that no request is forwarded long after its client has left.
     pub(super) async fn receive(&mut self, mode: ReadMode, limits: &Limits) -> ReceiveOutcome {
         match mode {
             ReadMode::Commands => self.receive_commands(limits).await,
@@ -126,7 +126,7 @@
     }
 
     async fn wait_for_end(&self, limits: &Limits) -> ReceiveOutcome {
-        // The runtime reports the end of the stream ahead of the bytes that were not read.
+        // The runtime reports the end of the stream even while received bytes are unread.
         while !self.is_read_closed().await {
             sleep(limits.downstream.liveness_check_interval).await;
         }
--- a/src/net/resp/downstream/listener.rs
+++ b/src/net/resp/downstream/listener.rs
@@ -1,4 +1,4 @@
-//! Accepting client connections, until they close at the end of the process.
+//! Accepts client connections until the process shuts down.
 
 use super::closing::Admission;
 use super::connection::serve;
@@ -10,14 +10,15 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// The part of the limit on connections by which it may be exceeded, before the process waits for others to close.
+/// Divisor of the connection limit. The limit may be exceeded by this fraction (one sixteenth) before the process waits
+/// for connections to close.
 const EXCESS_DIVISOR: usize = 16;
 
-/// Gives all further connections of a listener to the other process that listens at its address.
+/// Redirects all further connections of a listener to the other process that listens on its address.
 pub type RedirectListener = fn(&TcpListener) -> nix::Result<()>;
 
-/// Accepts connections until the process shuts down. Further connections are then redirected to the other process of this
-/// limiter, if it serves.
+/// Accepts connections until the process shuts down. From then on, further connections are redirected to the other
+/// process of this limiter if that one is serving.
 pub async fn accept(
     downstream: &Rc<Downstream>,
     listener: TcpListener,
@@ -45,12 +46,13 @@
     downstream: &'a Rc<Downstream>,
     redirect_listener: RedirectListener,
     closing: watch::Receiver<bool>,
-    /// Once the process shuts down: until when connections are accepted that were sent before.
+    /// Time until which connections that were initiated before the shutdown are still accepted; `None` before the
+    /// shutdown.
     accepts_until: Option<Instant>,
 }
 
 impl Acceptor<'_> {
-    /// The next connection; `None` once no further ones are accepted.
+    /// Waits for the next connection; returns `None` once no further ones are accepted.
     async fn next(
         &mut self,
         listener: &TcpListener,
@@ -69,7 +71,8 @@
         }
     }
 
-    /// Redirects further connections to the other process of this limiter, if it serves.
+    /// Redirects further connections to the other process of this limiter if that one is serving, and starts the grace
+    /// period after which no connections are accepted.
     fn start_closing(&mut self, listener: &TcpListener) {
         let context = &self.downstream.context;
         if context.shutdown.has_serving_successor() {
@@ -81,25 +84,25 @@
             Some(Instant::now() + context.limits.hot_restart.listener_handover_grace);
     }
 
-    /// Accepts a connection. Far past the limit the process then waits for others to close, since it would run out of
-    /// descriptors.
+    /// Serves an accepted connection. If the connection limit is exceeded by more than the permitted excess, waits for
+    /// connections to close, since the process would run out of file descriptors.
     async fn accept(&mut self, stream: TcpStream) {
         let context = &self.downstream.context;
         let max_connections = context.limits.downstream_connection_share();
         start(self.downstream, stream, self.admit(max_connections));
-        let most = max_connections + max_connections / EXCESS_DIVISOR;
+        let hard_limit = max_connections + max_connections / EXCESS_DIVISOR;
         let mut connections = context.shutdown.subscribe_connections();
         let accepts_until = self.accepts_until;
-        // The end of the process is not waited past, with other connections left in the queue.
+        // A shutdown ends the wait, so that connections are not left in the accept queue at the end of the process.
         tokio::select! {
-            _ = connections.wait_for(|count| *count < most) => {}
+            _ = connections.wait_for(|count| *count < hard_limit) => {}
             _ = self.closing.wait_for(|is_closing| *is_closing), if accepts_until.is_none() => {}
             () = sleep_until(accepts_until.unwrap_or_else(Instant::now)), if accepts_until.is_some() => {}
         }
     }
 
-    /// Admits a connection. Past the limit the connection that has been idle longest is evicted for it; where none is
-    /// idle, the requests of the new one are rejected.
+    /// Decides whether the requests of a new connection are served. At the connection limit, the first connection in
+    /// the eviction order is closed to make room; if none is idle, the requests of the new connection are rejected.
     fn admit(&self, max_connections: usize) -> Admission {
         if self.downstream.context.shutdown.connections() < max_connections {
             return Admission::Served;
@@ -111,19 +114,20 @@
     }
 }
 
-/// Starts to serve a connection, which counts until its task ends.
+/// Spawns the task that serves a connection. The connection counts until the task ends.
 fn start(downstream: &Rc<Downstream>, stream: TcpStream, admission: Admission) {
     let counted = downstream.context.shutdown.count_connection();
     let downstream = downstream.clone();
     spawn(async move {
-        // Without it responses are a little later; the connection works all the same.
+        // A failure only delays responses a little.
         let _ = stream.set_nodelay(true);
         serve(&downstream, stream, admission).await;
         drop(counted);
     });
 }
 
-/// Accepts the connections that wait in the queue, and closes it. A queue that is closed resets all connections in it.
+/// Accepts the connections in the accept queue, then closes the listener. Closing it resets the connections that are
+/// still in the queue.
 fn accept_queued(downstream: &Rc<Downstream>, listener: TcpListener) {
     let Ok(listener) = listener.into_std() else {
         return;
--- a/src/net/resp/downstream/mod.rs
+++ b/src/net/resp/downstream/mod.rs
@@ -1,4 +1,4 @@
-//! Client connections. Commands of one connection are handled side by side; their responses are sent in the order of
+//! Client connections. Commands of one connection are handled concurrently; their responses are sent in the order of
 //! the commands.
 
 mod closing;
@@ -9,7 +9,7 @@
 mod listener;
 mod output;
 mod request_catalog;
-mod request_facts;
+mod request_parameters;
 mod request_parser;
 mod response_queue;
 
@@ -27,13 +27,13 @@
 /// The state that all client connections share.
 pub struct Downstream {
     context: FrontendContext,
-    /// The classes and plans that a request may name.
+    /// The classes, plans and quantities that a request may contain.
     catalog: Rc<RefCell<RequestCatalog>>,
     idle_connections: Rc<IdleConnections>,
 }
 
 impl Downstream {
-    /// No client is connected.
+    /// Creates the state before any client is connected.
     pub fn new(context: FrontendContext, catalog: Rc<RefCell<RequestCatalog>>) -> Self {
         Downstream {
             context,
--- a/src/net/resp/downstream/output.rs
+++ b/src/net/resp/downstream/output.rs
@@ -1,4 +1,4 @@
-//! The output of a client connection: responses that are collected, and written as far as the client takes them.
+//! The output of a client connection: collects responses and writes them as the socket accepts bytes.
 
 use super::response_queue::{CollectOutcome, ResponseQueue};
 use crate::net::config::Limits;
@@ -7,20 +7,20 @@
 use tokio::net::tcp::WriteHalf;
 use tokio::time::Instant;
 
-/// The bytes that a client has not taken yet.
+/// The output buffer of a client connection.
 pub(super) struct Output<'a> {
     writer: WriteHalf<'a>,
     bytes: Vec<u8>,
-    /// How many of `bytes` have been written.
+    /// Number of bytes of `bytes` that have been written.
     written: usize,
-    /// How many of `bytes` count as buffered.
+    /// Number of bytes of `bytes` that count towards the buffered bytes of the process. Streamed values do not count.
     buffered_bytes: usize,
-    /// When the client last took some, or all.
+    /// When the socket last accepted bytes, or the output was last empty.
     last_progress: Instant,
 }
 
 impl<'a> Output<'a> {
-    /// An output that is empty.
+    /// Creates an empty output.
     pub(super) fn new(writer: WriteHalf<'a>) -> Self {
         Output {
             writer,
@@ -31,29 +31,29 @@
         }
     }
 
-    /// Whether the client has taken everything.
+    /// Returns whether all collected bytes have been written.
     pub(super) fn is_empty(&self) -> bool {
         self.bytes.is_empty()
     }
 
-    /// Whether so much is unsent that no further commands are handled.
+    /// Returns whether the buffer has reached `max_unsent_bytes`, at which no further commands are handled.
     pub(super) fn is_full(&self, limits: &Limits) -> bool {
         self.bytes.len() >= limits.downstream.max_unsent_bytes
     }
 
-    /// Whether bytes wait until the socket takes them.
+    /// Returns whether there are bytes that the socket has not accepted yet.
     pub(super) fn has_unwritten(&self) -> bool {
         self.written < self.bytes.len()
     }
 
-    /// Collects the responses that are ready.
+    /// Appends the responses that are ready.
     pub(super) fn collect(&mut self, responses: &ResponseQueue) -> CollectOutcome {
         let collected = responses.collect(&mut self.bytes);
         self.buffered_bytes += collected.buffered_bytes;
         collected.outcome
     }
 
-    /// Writes as much as the socket takes.
+    /// Writes as much as the socket accepts without waiting.
     ///
     /// # Errors
     /// The connection has failed.
@@ -79,18 +79,18 @@
         Ok(())
     }
 
-    /// Waits until the socket takes more.
+    /// Waits until the socket accepts more bytes.
     pub(super) async fn writable(&self) {
-        // A socket that has failed reports so at the next write.
+        // A failed socket reports its error at the next write.
         let _ = self.writer.writable().await;
     }
 
-    /// When a client that takes nothing counts as gone.
+    /// Returns the time at which the client counts as gone if the socket accepts no bytes until then.
     pub(super) fn stalled_at(&self, limits: &Limits) -> Instant {
         self.last_progress + limits.downstream.write_stall_timeout
     }
 
-    /// Gives up the unsent bytes: the client will never take them.
+    /// Releases the count of the unsent bytes of a lost connection.
     pub(super) fn abandon(&self, responses: &ResponseQueue) {
         responses.release(self.buffered_bytes);
     }
--- a/src/net/resp/downstream/request_catalog.rs
+++ b/src/net/resp/downstream/request_catalog.rs
@@ -1,37 +1,37 @@
-//! The classes, plans and quantities that a request may contain, by the configuration in force.
+//! The classes, plans and quantities that a request may contain according to the current configuration.
 
 use crate::api::{Class, ClassIndex, LimiterIndex, PlanIndex, Settings};
 use quartzcleat_admin::AcceptedIndices;
 
-/// A class whose name is accepted.
+/// A class that requests may name.
 #[derive(Clone, Debug)]
 pub struct CatalogClass {
-    /// The class's index.
+    /// The index of the class in the settings.
     pub index: ClassIndex,
-    /// The class.
+    /// The settings of the class.
     pub class: Class,
 }
 
-/// A plan whose name is accepted.
+/// A plan that requests may name.
 #[derive(Clone, Debug)]
 struct CatalogPlan {
     index: PlanIndex,
     name: String,
 }
 
-/// The names and ranges that requests are checked against.
+/// The names and ranges against which requests are validated.
 #[derive(Clone, Debug)]
 pub struct RequestCatalog {
     classes: Vec<CatalogClass>,
     plans: Vec<CatalogPlan>,
-    /// How many limiters there are.
+    /// Number of limiters; at least 1.
     limiter_count: u32,
-    /// The most units that one request counts.
+    /// Maximum units of one request; [`f64::MAX`] if the settings give no maximum.
     max_units: f64,
 }
 
 impl RequestCatalog {
-    /// The catalog of the settings, in which these classes and plans are accepted.
+    /// Creates the catalog of the accepted classes and plans of the settings.
     pub fn new(settings: &Settings, accepted: &AcceptedIndices) -> Self {
         let classes = accepted.classes.iter().map(|&index| CatalogClass {
             index,
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Keeps only these classes and plans.
+    /// Removes the classes and plans that are not in `accepted`.
     pub fn retain(&mut self, accepted: &AcceptedIndices) {
         self.classes
             .retain(|entry| accepted.classes.contains(&entry.index));
@@ -58,28 +58,28 @@
             .retain(|entry| accepted.plans.contains(&entry.index));
     }
 
-    /// The class of a name.
+    /// Returns the class with this name; `None` if it is not accepted.
     pub fn class(&self, name: &str) -> Option<&CatalogClass> {
         self.classes.iter().find(|entry| entry.class.name == name)
     }
 
-    /// The index of a plan's name.
+    /// Returns the index of the plan with this name; `None` if it is not accepted.
     pub fn plan(&self, name: &str) -> Option<PlanIndex> {
         let plan = self.plans.iter().find(|entry| entry.name == name);
         plan.map(|entry| entry.index)
     }
 
-    /// Whether a request may count so many units.
+    /// Returns whether a request may have this many units.
     pub fn accepts_units(&self, units: f64) -> bool {
         units > 0.0 && units <= self.max_units
     }
 
-    /// Whether a customer's requests may arrive through so many limiters.
+    /// Returns whether a customer's requests may arrive through this many limiters.
     pub fn accepts_spread(&self, spread: u32) -> bool {
         (1..=self.limiter_count).contains(&spread)
     }
 
-    /// Whether there is this limiter.
+    /// Returns whether a limiter with this index exists.
     pub fn accepts_limiter(&self, limiter: LimiterIndex) -> bool {
         limiter.0 < self.limiter_count
     }
--- a/src/net/resp/downstream/request_facts.rs
+++ b/src/net/resp/downstream/request_parameters.rs
@@ -1,4 +1,4 @@
-//! The facts of a request: `name=value`, separated by commas.
+//! The parameters of a request: `name=value` pairs separated by commas.
 
 use super::command_error::CommandError;
 use super::request_catalog::{CatalogClass, RequestCatalog};
@@ -6,65 +6,67 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// The wait of a request, and its place in the command.
+/// The wait of a request, and its position in the command.
 #[derive(Debug)]
-pub(super) struct WaitFact {
-    /// The wait.
+pub(super) struct WaitParameter {
+    /// How long the client waits; more than zero, in whole milliseconds.
     pub(super) wait: Duration,
-    /// The range of its digits.
+    /// The range of its value in the command, in bytes.
     pub(super) range: Range<usize>,
 }
 
-/// The facts of a request that has all facts that it needs.
+/// The parameters of a request in which no required one is missing.
 #[derive(Debug)]
-pub(super) struct RequestFacts<'a> {
+pub(super) struct RequestParameters<'a> {
     /// `c`: the class.
     pub(super) class: &'a CatalogClass,
     /// `t`: the plan.
     pub(super) plan: PlanIndex,
     /// `d`: how long the client waits.
-    pub(super) wait: WaitFact,
-    /// `units`: the units that the request takes from the quota.
+    pub(super) wait: WaitParameter,
+    /// `units`: the units that the request takes from the quota; more than zero.
     pub(super) units: f64,
-    /// `spread`: how many limiters the customer's requests may arrive through.
+    /// `spread`: the number of limiters through which the customer's requests may arrive; at least 1.
     pub(super) spread: u32,
     /// `first`: the first of these limiters.
     pub(super) first_limiter: LimiterIndex,
-    /// `k`: there is an idempotency key.
+    /// `k`: whether there is an idempotency key.
     pub(super) has_key: bool,
-    /// `r`: the request is a client's retry.
+    /// `r`: whether the request is a retry by the client.
     pub(super) is_retry: bool,
 }
 
-impl<'a> RequestFacts<'a> {
-    /// Parses facts that start at `start` in the command. Values that are malformed or out of range count as missing.
-    /// Where a name occurs twice the last one counts.
+impl<'a> RequestParameters<'a> {
+    /// Parses parameters that start at byte `start` of the command. Values that are malformed or out of range count as
+    /// missing. If a name occurs more than once, the last value is used, except that `r` stays set once it was `1`.
     ///
     /// # Errors
-    /// A fact has no value, or one that each request needs is missing.
+    /// A parameter is not of the form `name=value`, or a required parameter is missing.
     pub(super) fn parse(
         text: &str,
         start: usize,
         catalog: &'a RequestCatalog,
     ) -> Result<Self, CommandError> {
-        let mut received = ReceivedFacts::default();
+        let mut received = ReceivedParameters::default();
         let mut position = start;
-        for fact in text.split(',') {
-            let (name, value) = fact.split_once('=').ok_or(CommandError::FactWithoutValue)?;
-            let value_range = position + name.len() + 1..position + fact.len();
+        for parameter in text.split(',') {
+            let (name, value) = parameter
+                .split_once('=')
+                .ok_or(CommandError::ParameterWithoutValue)?;
+            let value_range = position + name.len() + 1..position + parameter.len();
             received.apply(name, value, value_range, catalog);
-            position += fact.len() + 1;
+            position += parameter.len() + 1;
         }
         received.require_all()
     }
 }
 
-/// The facts that were received, each of which may be missing.
+/// The parameters received so far; `None` for those that are missing or invalid.
 #[derive(Default)]
-struct ReceivedFacts<'a> {
+struct ReceivedParameters<'a> {
     class: Option<&'a CatalogClass>,
     plan: Option<PlanIndex>,
-    wait: Option<WaitFact>,
+    wait: Option<WaitParameter>,
     has_key: bool,
     is_retry: bool,
     units: Option<f64>,
@@ -72,7 +74,7 @@
     first_limiter: Option<LimiterIndex>,
 }
 
-impl<'a> ReceivedFacts<'a> {
+impl<'a> ReceivedParameters<'a> {
     fn apply(&mut self, name: &str, value: &str, range: Range<usize>, catalog: &'a RequestCatalog) {
         let number = value.parse::<u32>().ok();
         match name {
@@ -80,7 +82,7 @@
             "t" => self.plan = catalog.plan(value),
             "d" => {
                 let wait = number.filter(|wait_ms| *wait_ms > 0);
-                self.wait = wait.map(|wait_ms| WaitFact {
+                self.wait = wait.map(|wait_ms| WaitParameter {
                     wait: Duration::from_millis(wait_ms.into()),
                     range,
                 });
@@ -100,8 +102,8 @@
         }
     }
 
-    fn require_all(self) -> Result<RequestFacts<'a>, CommandError> {
-        Ok(RequestFacts {
+    fn require_all(self) -> Result<RequestParameters<'a>, CommandError> {
+        Ok(RequestParameters {
             class: self.class.ok_or(CommandError::Class)?,
             plan: self.plan.ok_or(CommandError::Plan)?,
             wait: self.wait.ok_or(CommandError::Wait)?,
--- a/src/net/resp/downstream/request_parser.rs
+++ b/src/net/resp/downstream/request_parser.rs
@@ -1,42 +1,42 @@
-//! The commands of clients.
+//! Parsing of client commands.
 //!
-//! A request is refused here where no host could use it, or where it would charge a customer for units that the
-//! customer did not request: each fact that every request has must be there and within its range.
+//! Every required parameter of a request must be present and within its range. Any other request is refused, since no
+//! host could use it, or it would charge a customer for units that the customer did not request.
 
 use super::command_error::CommandError;
 use super::request_catalog::RequestCatalog;
-use super::request_facts::RequestFacts;
+use super::request_parameters::RequestParameters;
 use crate::api::{Class, CustomerId, Effect, RequestId};
 use crate::net::engine::{Payload, Request};
 use crate::net::resp::codec::Command;
 use std::ops::Range;
 use std::time::Duration;
 
-/// Customers' numbers are below this one.
+/// Exclusive upper bound of customer numbers.
 const CUSTOMER_LIMIT: u64 = 1 << 33;
-/// Digits of a customer's number and of a request's id.
+/// Number of digits of a customer number and of a request id.
 const HEX_DIGITS: usize = 16;
-/// Verb, customer, id and facts; a body may follow.
+/// Numbers of arguments of a request: verb, customer, id, parameters and an optional body.
 const ARGUMENT_COUNTS: std::ops::RangeInclusive<usize> = 4..=5;
 const CUSTOMER_ARGUMENT: usize = 1;
 const ID_ARGUMENT: usize = 2;
-const FACTS_ARGUMENT: usize = 3;
-/// Flag of a request that is a client's retry.
+const PARAMETERS_ARGUMENT: usize = 3;
+/// Bit of the request flags that marks a retry by the client.
 const RETRY_FLAG: u64 = 2;
-/// Flag of a request that was sent with `Q.DO`.
+/// Bit of the request flags that marks a request sent with `Q.DO`.
 const WRITE_FLAG: u64 = 4;
 
-/// A command of a client.
+/// A parsed client command.
 pub(super) enum ClientCommand {
-    /// A request for a host.
+    /// A request to be forwarded to a host.
     Request(Box<Request>),
-    /// A question whether the limiter serves.
+    /// A check whether the limiter accepts clients.
     Ping,
-    /// A setting of the connection that changes nothing here.
+    /// A connection setting (`CLIENT` or `SELECT`), which is acknowledged and ignored.
     ConnectionSetting,
 }
 
-/// The verbs that clients use.
+/// The supported command verbs.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Verb {
     Ping,
@@ -64,7 +64,7 @@
     }
 }
 
-/// Parses a complete command; its ranges refer to `bytes`.
+/// Parses a complete command, whose ranges refer to `bytes`.
 ///
 /// # Errors
 /// The command is unknown or malformed, or names a class or plan that the catalog does not contain.
@@ -102,36 +102,36 @@
         .filter(|customer| *customer < CUSTOMER_LIMIT)
         .ok_or(CommandError::Customer)?;
     let id = parse_hex(argument(ID_ARGUMENT)).ok_or(CommandError::Id)?;
-    let text = std::str::from_utf8(argument(FACTS_ARGUMENT));
-    let text = text.map_err(|_| CommandError::FactsNotText)?;
-    let facts = RequestFacts::parse(text, arguments[FACTS_ARGUMENT].start, catalog)?;
-    check_effect(verb, facts.class.class.effect, facts.has_key)?;
+    let text = std::str::from_utf8(argument(PARAMETERS_ARGUMENT));
+    let text = text.map_err(|_| CommandError::ParametersNotText)?;
+    let parameters = RequestParameters::parse(text, arguments[PARAMETERS_ARGUMENT].start, catalog)?;
+    check_effect(verb, parameters.class.class.effect, parameters.has_key)?;
     Ok(Request {
         id: RequestId(id),
-        class: facts.class.index,
-        plan: facts.plan,
+        class: parameters.class.index,
+        plan: parameters.plan,
         customer: CustomerId(customer),
-        units: facts.units,
-        spread: facts.spread,
-        first_limiter: facts.first_limiter,
-        flags: request_flags(verb, &facts),
-        wait: bounded_wait(facts.wait.wait, &facts.class.class),
-        payload: payload(bytes, arguments, &facts.wait.range),
+        units: parameters.units,
+        spread: parameters.spread,
+        first_limiter: parameters.first_limiter,
+        flags: request_flags(verb, &parameters),
+        wait: bounded_wait(parameters.wait.wait, &parameters.class.class),
+        payload: payload(bytes, arguments, &parameters.wait.range),
     })
 }
 
-fn request_flags(verb: Verb, facts: &RequestFacts<'_>) -> u64 {
+fn request_flags(verb: Verb, parameters: &RequestParameters<'_>) -> u64 {
     let mut flags = 0;
     if verb == Verb::Write {
         flags |= WRITE_FLAG;
     }
-    if facts.is_retry {
+    if parameters.is_retry {
         flags |= RETRY_FLAG;
     }
     flags
 }
 
-/// A number of exactly 16 hexadecimal digits.
+/// Parses a number of exactly 16 hexadecimal digits.
 fn parse_hex(text: &[u8]) -> Option<u64> {
     let text = std::str::from_utf8(text).ok()?;
     if text.len() != HEX_DIGITS || text.starts_with('+') {
@@ -149,7 +149,8 @@
     }
 }
 
-/// No client waits for longer than its class does; without this bound a request could be kept for ever.
+/// Returns the wait, bounded by the deadline of the class if it has one. Without this bound a request could be kept for
+/// an unlimited time.
 fn bounded_wait(wait: Duration, class: &Class) -> Duration {
     if class.deadline > 0 {
         wait.min(Duration::from_nanos(class.deadline))
@@ -158,14 +159,14 @@
     }
 }
 
-/// The arguments alone, one behind another; the wait moves with its argument.
+/// Copies the arguments without their headers, one after another, and adjusts the range of the wait.
 fn payload(bytes: &[u8], arguments: &[Range<usize>], wait: &Range<usize>) -> Payload {
     let mut payload = Payload::default();
     for (index, argument) in arguments.iter().enumerate() {
         let start = payload.bytes.len();
         payload.bytes.extend_from_slice(&bytes[argument.clone()]);
         payload.arguments.push(start..payload.bytes.len());
-        if index == FACTS_ARGUMENT {
+        if index == PARAMETERS_ARGUMENT {
             let offset = |position: usize| position - argument.start + start;
             payload.wait = offset(wait.start)..offset(wait.end);
         }
--- a/src/net/resp/downstream/response_queue.rs
+++ b/src/net/resp/downstream/response_queue.rs
@@ -1,4 +1,4 @@
-//! The responses of one connection, in the order of its commands.
+//! The responses of a connection, in the order of its commands.
 
 use crate::api::RequestId;
 use crate::net::engine::{Answer, Frontend};
@@ -17,43 +17,43 @@
 pub(super) enum Response {
     /// The request has no answer yet.
     Pending(RequestId),
-    /// The bytes to be sent.
+    /// The complete response, encoded.
     Ready(Vec<u8>),
-    /// A long value: its head, until that has been collected, and the body behind it.
+    /// A long value, whose body is sent as it is received.
     Streaming {
-        /// The head of the value.
+        /// The encoded header; empty once it has been collected.
         head: Vec<u8>,
-        /// The value.
+        /// The bytes of the value.
         body: Rc<StreamingBody>,
     },
 }
 
-/// Where a collection of responses ended.
+/// The reason why collecting responses stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CollectOutcome {
-    /// At a response that is not ready yet, or behind the last one.
+    /// The next response is not complete yet, or there is none.
     Pending,
-    /// Within a streamed value that will never be complete.
+    /// The body of a streamed value failed and will never be complete.
     BodyFailed,
 }
 
-/// The result of a collection of responses.
+/// The result of collecting responses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Collected {
-    /// How many of the collected bytes count as buffered.
+    /// Number of collected bytes that count towards the buffered bytes of the process.
     pub buffered_bytes: usize,
-    /// Where the collection ended.
+    /// The reason why collecting stopped.
     pub outcome: CollectOutcome,
 }
 
-/// The pending responses, in the order of their commands.
+/// The responses that have not been collected completely, in the order of their commands.
 pub(super) struct ResponseQueue {
     responses: RefCell<VecDeque<Response>>,
-    /// The place of the first of them among all of the connection.
+    /// The place of the first response: the number of responses of this connection that have been collected completely.
     first_place: Cell<u64>,
-    /// Notified when the first has its answer.
+    /// Notified when the first response is ready.
     pub first_ready: Notify,
-    /// Buffered bytes of the whole process.
+    /// Number of response bytes buffered in the whole process, shared by all connections.
     buffered_bytes: Rc<Cell<usize>>,
 }
 
@@ -68,7 +68,7 @@
     }
 }
 
-/// An answer as a client gets it; of a long value its head.
+/// Encodes an answer for the client; for a streamed value only the header.
 fn encode(answer: &Answer) -> Vec<u8> {
     let mut output = Vec::new();
     match answer {
@@ -87,7 +87,7 @@
 }
 
 impl ResponseQueue {
-    /// A queue without responses.
+    /// Creates an empty queue. `buffered_bytes` is the count of the whole process.
     pub(super) fn new(buffered_bytes: Rc<Cell<usize>>) -> Self {
         ResponseQueue {
             responses: RefCell::default(),
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Sets the response of a place, if it is still pending.
+    /// Sets the response at a place, unless the queue has been abandoned.
     fn set(&self, place: u64, response: Response) {
         let index = (place - self.first_place.get()) as usize;
         if let Some(slot) = self.responses.borrow_mut().get_mut(index) {
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Adds a response behind the others; returns its place.
+    /// Appends a response and returns its place.
     pub(super) fn push(&self, response: Response) -> u64 {
         self.count(&response);
         let mut responses = self.responses.borrow_mut();
@@ -117,7 +117,7 @@
         self.first_place.get() + responses.len() as u64 - 1
     }
 
-    /// Adds an error response behind the others.
+    /// Appends an error response.
     pub(super) fn push_error(&self, problem: &str) {
         let text = format!("-ERR {problem}\r\n");
         self.push(Response::Ready(text.into_bytes()));
@@ -130,13 +130,13 @@
         }
     }
 
-    /// Records that buffered bytes have been sent, or will never be.
+    /// Subtracts bytes from the buffered bytes of the process, because they were sent or never will be.
     pub(super) fn release(&self, bytes: usize) {
         let buffered = self.buffered_bytes.get();
         self.buffered_bytes.set(buffered - bytes);
     }
 
-    /// Moves the responses at the front of the queue to `output`, as far as they are ready.
+    /// Moves the responses at the front of the queue to `output` up to the first one that is not ready.
     pub(super) fn collect(&self, output: &mut Vec<u8>) -> Collected {
         let mut responses = self.responses.borrow_mut();
         let mut buffered_bytes = 0;
@@ -165,7 +165,7 @@
         }
     }
 
-    /// The long value at the front of the queue.
+    /// Returns the body of the streamed value at the front of the queue; `None` if the first response is not streamed.
     pub(super) fn current_body(&self) -> Option<Rc<StreamingBody>> {
         match self.responses.borrow().front() {
             Some(Response::Streaming { body, .. }) => Some(body.clone()),
@@ -173,22 +173,22 @@
         }
     }
 
-    /// How many responses are pending.
+    /// Returns the number of responses that have not been collected completely.
     pub(super) fn len(&self) -> usize {
         self.responses.borrow().len()
     }
 
-    /// Whether no response is pending.
+    /// Returns whether all responses have been collected.
     pub(super) fn is_empty(&self) -> bool {
         self.responses.borrow().is_empty()
     }
 
-    /// Whether a response has been collected completely.
+    /// Returns whether at least one response has been collected completely.
     pub(super) fn has_responded(&self) -> bool {
         self.first_place.get() > 0
     }
 
-    /// Abandons all responses: the connection has ended.
+    /// Abandons all responses and their requests, because the connection has ended.
     pub(super) fn abandon(&self, handler: &dyn RequestHandler) {
         let responses = std::mem::take(&mut *self.responses.borrow_mut());
         for response in responses {
--- a/src/net/resp/eviction.rs
+++ b/src/net/resp/eviction.rs
@@ -1,10 +1,10 @@
-//! The eviction of an idle connection for another one, at the limit on connections.
+//! Eviction of an idle connection to make room for another one at the connection limit.
 
-/// Whether a connection was evicted for another one.
+/// The outcome of an attempt to evict an idle connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Eviction {
     /// The connection that has been idle longest was evicted.
     Evicted,
-    /// None is idle.
+    /// No connection is idle.
     NoneIdle,
 }
--- a/src/net/resp/mod.rs
+++ b/src/net/resp/mod.rs
@@ -1,4 +1,5 @@
-//! RESP2, the protocol of both sides: its codec, the connections of clients (downstream) and those to hosts (upstream).
+//! RESP2, the protocol spoken with clients and hosts: the codec, the client connections (downstream) and the
+//! connections to hosts (upstream).
 
 pub mod close;
 pub mod codec;
--- a/src/net/resp/tests.rs
+++ b/src/net/resp/tests.rs
@@ -1,16 +1,16 @@
-//! Bytes and ends of connections that the kernel has and the runtime does not know of yet.
+//! Received bytes and closed connections that the kernel knows about before the runtime does.
 
 use super::close::{close_in_order, read_now, SocketState};
 use super::upstream::UpstreamConnection;
 use std::io::{Read, Write};
-use std::net::TcpStream as Blocking;
+use std::net::TcpStream as BlockingStream;
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// A connection that the runtime knows to be empty, and its other end, which the test controls.
+/// A connection on which the runtime has seen no bytes, and its other end, which the test controls.
 struct ConnectedPair {
     stream: TcpStream,
-    peer: Blocking,
+    peer: BlockingStream,
 }
 
 async fn connected_pair() -> ConnectedPair {
@@ -18,18 +18,15 @@
         .await
         .expect("a port is free");
     let address = listener.local_addr().expect("it has an address");
-    let peer = std::thread::spawn(move || Blocking::connect(address).expect("it connects"));
+    let peer = std::thread::spawn(move || BlockingStream::connect(address).expect("it connects"));
     let (stream, _) = listener.accept().await.expect("it is accepted");
     let peer = peer.join().expect("it has connected");
-    stream
-        .writable()
-        .await
-        .expect("the runtime has looked at it");
+    stream.writable().await.expect("the runtime has polled it");
     assert!(stream.try_read(&mut [0]).is_err(), "nothing was received");
     ConnectedPair { stream, peer }
 }
 
-/// Waits until the kernel has something to read on a connection, without polling the runtime.
+/// Waits until the kernel has bytes or the end of the stream to read on a connection, without polling the runtime.
 fn wait_for_kernel(stream: &TcpStream) {
     use nix::sys::socket::{recv, MsgFlags};
     use std::os::fd::AsRawFd;
@@ -51,7 +48,8 @@
     runtime.expect("a runtime starts").block_on(test);
 }
 
-/// A command that arrives just before its connection is closed is seen.
+/// A command that arrives just before its connection is closed must not be missed. The runtime does not report it until
+/// its next poll.
 #[test]
 fn read_now_sees_bytes_and_ends_that_the_runtime_does_not_know_of() {
     run(async {
@@ -70,7 +68,7 @@
     });
 }
 
-/// A host closes a pooled connection just before a call takes it: the connection is not quiet.
+/// A host may close a pooled connection just before a call uses it, when the runtime has not noticed the close yet.
 #[test]
 fn pooled_connection_that_was_just_closed_is_not_quiet() {
     run(async {
@@ -84,7 +82,7 @@
     });
 }
 
-/// Unread bytes at the close of a connection do not destroy the answer that was written before.
+/// Closing a socket with unread bytes resets the connection, which would discard the answer written before.
 #[test]
 fn last_answer_arrives_despite_unread_bytes() {
     run(async {
@@ -98,7 +96,7 @@
         );
         let reader = std::thread::spawn(move || {
             peer.write_all(&vec![7; 1 << 20])
-                .expect("it is read, and dropped");
+                .expect("the bytes are read and discarded");
             let mut text = String::new();
             peer.read_to_string(&mut text).map(|_| text)
         });
--- a/src/net/resp/upstream/call_codec.rs
+++ b/src/net/resp/upstream/call_codec.rs
@@ -1,4 +1,4 @@
-//! The commands to hosts, and the meaning of their replies.
+//! Encoding of the commands to hosts, and interpretation of their replies.
 
 use crate::api::{HostId, LoadReading, LoadReport, Outcome, ReportSource};
 use crate::net::engine::{CallResult, HostCall, HostCommand, Payload, UsageFigures};
@@ -9,11 +9,11 @@
 /// The command that asks a host for its load.
 const LOAD_COMMAND: [&[u8]; 2] = [b"INFO", b"load"];
 
-/// The meaning of a reply.
+/// The interpretation of a reply of a host.
 pub struct Interpretation {
     /// How the call ended.
     pub result: CallResult,
-    /// The reply is one of the protocol's forms. After any other the connection is of no more use.
+    /// Whether the reply has one of the forms of the protocol. After any other reply the connection is not reused.
     pub is_known_form: bool,
 }
 
@@ -84,8 +84,8 @@
     Interpretation::known(result)
 }
 
-/// The value, the figures on usage or null, the load report or null. The value is good even where the others are
-/// malformed.
+/// Interprets an array of the value, the usage figures or null, and the load report or null. The value is used even if
+/// the other members are malformed.
 fn interpret_value(members: &[Reply], bytes: &[u8], host: HostId) -> Interpretation {
     let [Reply::Bulk(Some(value)), usage, report] = members else {
         return Interpretation::unknown_form();
@@ -98,8 +98,8 @@
     })
 }
 
-/// Whether the bytes received of a reply may yet become one to this command. For bytes that are well-formed so far
-/// and begin no such reply, the call ends at once.
+/// Returns whether the received bytes are the start of a possible reply to this command. A call ends at once on bytes
+/// that are well-formed so far but cannot become such a reply.
 pub fn may_become_reply(input: &[u8], command: &HostCommand) -> bool {
     let expected: &[u8] = match command {
         HostCommand::HealthCheck => b"$",
@@ -108,7 +108,7 @@
     has_common_start(input, b"-") || has_common_start(input, expected)
 }
 
-/// Whether two byte strings are equal as far as both reach.
+/// Returns whether one of two byte strings is a prefix of the other.
 fn has_common_start(one: &[u8], other: &[u8]) -> bool {
     one.iter().zip(other).all(|(left, right)| left == right)
 }
@@ -120,7 +120,7 @@
     }
 }
 
-/// Parses named values: `inflight=7,queue=2`.
+/// Parses named values such as `inflight=7,queue=2`; returns `None` if one of them is malformed or not finite.
 fn parse_load(bytes: &[u8]) -> Option<LoadReport> {
     let text = std::str::from_utf8(bytes).ok()?;
     let pair = |pair: &str| {
@@ -134,8 +134,8 @@
     text.split(',').map(pair).collect()
 }
 
-/// The figures on usage: `used=37,cost=4`, or null. Figures that are malformed or negative are logged and left out, so
-/// that they never enter a count.
+/// Parses usage figures such as `used=37,cost=4`, or null. Malformed or negative figures are logged and taken as 0, so
+/// that they are never counted.
 pub fn usage_figures(figures: &Reply, bytes: &[u8], host: HostId) -> UsageFigures {
     let figures = match figures {
         Reply::Bulk(None) => return UsageFigures::default(),
@@ -158,8 +158,8 @@
     }
 }
 
-/// Appends the command of a call. The arguments are forwarded byte for byte, but for the wait, which becomes the
-/// remaining one.
+/// Appends the command of a call. The arguments are forwarded byte for byte, except the wait, which is replaced by the
+/// time that remains until the deadline of the call, in milliseconds (at least 1).
 pub fn write_command(call: &HostCall, now: Instant, output: &mut Vec<u8>) {
     let HostCommand::Attempt { payload, .. } = &call.command else {
         return codec::write_command(&LOAD_COMMAND, output);
--- a/src/net/resp/upstream/host.rs
+++ b/src/net/resp/upstream/host.rs
@@ -1,4 +1,4 @@
-//! One host, and the connections to it that are idle.
+//! A host and its idle connections.
 
 use crate::net::config::Limits;
 use crate::net::engine::HostCall;
@@ -6,36 +6,36 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// A connection that waits for its next call.
+/// A connection that waits for its next call. Dropping it closes the connection.
 struct IdleConnection {
     serial: u64,
     next_call: oneshot::Sender<HostCall>,
     since: Instant,
 }
 
-/// The place of an idle connection in the pool.
+/// The registration of an idle connection in the pool.
 pub struct IdlePlace {
-    /// Identifies the place among all that the pool ever gave.
+    /// Serial number, unique within the pool; later registrations have higher ones.
     pub serial: u64,
-    /// Receives the connection's next call; fails once the pool has closed the connection.
+    /// Receives the next call of the connection; fails once the pool has closed the connection.
     pub next_call: oneshot::Receiver<HostCall>,
 }
 
-/// A host as listed last.
+/// A host as it last appeared on the endpoint list.
 pub(super) struct Host {
     address: SocketAddr,
-    /// When its process started, in nanoseconds since the Unix epoch.
+    /// Start time of its process, in nanoseconds since the Unix epoch.
     started: u64,
-    /// When it was first listed as not ready.
+    /// When it was first found to be draining or gone; `None` while it is ready.
     unready_since: Option<Instant>,
-    /// It is not on the endpoint list any more.
+    /// Whether it is no longer on the endpoint list.
     is_gone: bool,
-    /// The idle connections, the one that was used last at the end.
+    /// The idle connections, the most recently used one last.
     idle: Vec<IdleConnection>,
 }
 
 impl Host {
-    /// A host that is ready and has no connections.
+    /// Creates a host that is ready and has no connections.
     pub(super) fn new(address: SocketAddr, started: u64) -> Self {
         Host {
             address,
@@ -46,12 +46,13 @@
         }
     }
 
-    /// The address that the host listens on.
+    /// Returns the address that the host listens on.
     pub(super) fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Whether this is the process that listens on `address` and started at `started`.
+    /// Returns whether this is the process that listens on `address` and started at `started` (nanoseconds since the
+    /// Unix epoch).
     pub(super) fn is_same_process(&self, address: SocketAddr, started: u64) -> bool {
         self.address == address && self.started == started
     }
@@ -69,29 +70,30 @@
         self.is_gone = false;
     }
 
-    /// Records that the host is not on the endpoint list any more, and closes its idle connections.
+    /// Records that the host is no longer on the endpoint list, and closes its idle connections.
     pub(super) fn set_gone(&mut self) {
         self.set_draining();
         self.is_gone = true;
     }
 
-    /// Whether calls that were decided before the host stopped being ready may no longer be sent there.
+    /// Returns whether the drain grace has passed, so that even calls decided before the host stopped being ready may
+    /// no longer be sent to it.
     pub(super) fn is_drain_grace_over(&self, limits: &Limits) -> bool {
         self.unready_since
             .is_some_and(|since| since.elapsed() >= limits.upstream.drain_grace.get())
     }
 
-    /// Whether the host is gone and past its drain grace.
+    /// Returns whether the host is gone and its drain grace has passed.
     pub(super) fn is_forgettable(&self, limits: &Limits) -> bool {
         self.is_gone && self.is_drain_grace_over(limits)
     }
 
-    /// Whether a connection to `peer` may wait here for another call.
+    /// Returns whether an idle connection to `peer` is kept for another call: the host is ready and listens there.
     pub(super) fn keeps_connections_to(&self, peer: SocketAddr) -> bool {
         self.unready_since.is_none() && self.address == peer
     }
 
-    /// Adds an idle connection.
+    /// Registers an idle connection.
     pub(super) fn add_idle(&mut self, serial: u64) -> IdlePlace {
         let (sender, next_call) = oneshot::channel();
         self.idle.push(IdleConnection {
@@ -102,28 +104,28 @@
         IdlePlace { serial, next_call }
     }
 
-    /// Removes an idle connection.
+    /// Removes an idle connection, which closes it.
     pub(super) fn remove_idle(&mut self, serial: u64) {
         self.idle.retain(|idle| idle.serial != serial);
     }
 
-    /// Closes the idle connections.
+    /// Closes all idle connections.
     pub(super) fn close_idle(&mut self) {
         self.idle.clear();
     }
 
-    /// The serial of the connection that has been idle longest.
+    /// Returns the serial number of the connection that has been idle longest; `None` if none is idle.
     pub(super) fn longest_idle(&self) -> Option<u64> {
         self.idle.first().map(|idle| idle.serial)
     }
 
-    /// Hands a call to the idle connection that was used last.
+    /// Hands a call to the most recently used idle connection.
     ///
-    /// For a moment after an answer a connection takes no call: bytes that still follow the answer, a copy of it above
-    /// all, would be taken for the answer to that call.
+    /// A connection accepts no call until `reuse_delay` after its last answer. Bytes that still follow that answer, in
+    /// particular a duplicate of it, would be taken for the answer to the next call.
     ///
     /// # Errors
-    /// No connection is idle for long enough; the call is given back.
+    /// No connection has been idle for long enough; returns the call.
     pub(super) fn send_on_idle(
         &mut self,
         mut call: HostCall,
--- a/src/net/resp/upstream/mod.rs
+++ b/src/net/resp/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! Hosts: the connections to them, and the commands and replies on these.
+//! The hosts: the connection pool, and the encoding of commands and interpretation of replies.
 
 mod call_codec;
 mod connection;
--- a/src/net/resp/upstream/permits.rs
+++ b/src/net/resp/upstream/permits.rs
@@ -1,11 +1,11 @@
-//! The count of connections to hosts.
+//! Counting of the connections to hosts.
 
 use crate::api::HostId;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Counts a connection that is open or being opened, until it is dropped.
+/// A permit for a connection that is open or being opened. The connection counts until the permit is dropped.
 pub struct ConnectionPermit {
     counts: [Rc<Cell<usize>>; 2],
 }
@@ -27,7 +27,7 @@
     }
 }
 
-/// How many connections are open or being opened, in all and by host.
+/// The numbers of connections that are open or being opened, in total and by host.
 #[derive(Default)]
 pub(super) struct ConnectionCounts {
     total: Rc<Cell<usize>>,
@@ -35,12 +35,12 @@
 }
 
 impl ConnectionCounts {
-    /// How many connections there are.
+    /// Returns the number of connections to all hosts.
     pub(super) fn total(&self) -> usize {
         self.total.get()
     }
 
-    /// How many connections there are to each host that has some.
+    /// Returns the number of connections by host, without the hosts that have none.
     pub(super) fn by_host(&self) -> BTreeMap<HostId, usize> {
         self.by_host
             .borrow()
@@ -50,13 +50,13 @@
             .collect()
     }
 
-    /// Counts one more connection to a host.
+    /// Counts one more connection to a host, until the permit is dropped.
     pub(super) fn acquire(&self, id: HostId) -> ConnectionPermit {
         let by_host = self.by_host.borrow_mut().entry(id).or_default().clone();
         ConnectionPermit::new([self.total.clone(), by_host])
     }
 
-    /// Forgets the hosts without connections, but for those to retain.
+    /// Removes the counts of hosts without connections, except those for which `is_retained` returns `true`.
     pub(super) fn forget_unused(&self, is_retained: impl Fn(HostId) -> bool) {
         self.by_host
             .borrow_mut()
--- a/src/net/resp/upstream/pool.rs
+++ b/src/net/resp/upstream/pool.rs
@@ -1,4 +1,4 @@
-//! All hosts, and the connections to them.
+//! The pool of hosts and of the connections to them.
 
 use super::host::{Host, IdlePlace};
 use super::permits::{ConnectionCounts, ConnectionPermit};
@@ -11,7 +11,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 
-/// All hosts, and the connections to them.
+/// The known hosts and the connections to them.
 pub struct UpstreamPool {
     hosts: RefCell<HashMap<HostId, Host>>,
     connections: ConnectionCounts,
@@ -21,7 +21,8 @@
 }
 
 impl UpstreamPool {
-    /// A pool without hosts. `report_source` is where hosts report their load; `metrics` count the connections.
+    /// Creates a pool without hosts. `report_source` tells where hosts report their load; `metrics` counts the
+    /// connections and may be `None`.
     pub fn new(report_source: ReportSource, metrics: Option<SharedMetrics>) -> Self {
         UpstreamPool {
             hosts: RefCell::default(),
@@ -32,7 +33,7 @@
         }
     }
 
-    /// Where hosts report their load.
+    /// Returns where hosts report their load.
     pub fn report_source(&self) -> ReportSource {
         self.report_source.get()
     }
@@ -42,7 +43,8 @@
         self.report_source.set(report_source);
     }
 
-    /// Records the state and address of a listed host, as received at this moment.
+    /// Records the state and address of a host from the endpoint list. A host with a new address or start time replaces
+    /// the known one.
     pub fn update_host(&self, entry: &HostEntry, address: SocketAddr) {
         let mut hosts = self.hosts.borrow_mut();
         let host = hosts
@@ -58,13 +60,13 @@
         }
     }
 
-    /// Whether the pool knows a host.
+    /// Returns whether the pool contains a host.
     pub fn contains_host(&self, id: HostId) -> bool {
         self.hosts.borrow().contains_key(&id)
     }
 
-    /// Forgets the hosts that are gone and past their drain grace. Without this the pool would grow with each host that
-    /// is replaced by one of another name.
+    /// Removes the hosts that are gone and whose drain grace has passed. Without this the pool would grow with each
+    /// host that is replaced by one with another name.
     pub fn forget_gone_hosts(&self, limits: &Limits) {
         self.hosts
             .borrow_mut()
@@ -73,7 +75,7 @@
         self.connections.forget_unused(|id| hosts.contains_key(&id));
     }
 
-    /// Marks the hosts as gone that a complete list does not contain.
+    /// Marks the hosts as gone that are not on `listed`, which is a complete endpoint list.
     pub fn retain_listed(&self, listed: &[HostEntry]) {
         for (id, host) in self.hosts.borrow_mut().iter_mut() {
             if !listed.iter().any(|entry| entry.host == *id) {
@@ -82,18 +84,18 @@
         }
     }
 
-    /// Where a host listens; `None` once nothing may be sent there any more. A call may have been decided before the
-    /// host began to drain, and its connection be established long after.
+    /// Returns the address that a host listens on; `None` if the host is unknown or its drain grace has passed. The
+    /// connection for a call that was decided before the host began to drain may be established long after that.
     pub fn address(&self, id: HostId, limits: &Limits) -> Option<SocketAddr> {
         let hosts = self.hosts.borrow();
         let host = hosts.get(&id)?;
         (!host.is_drain_grace_over(limits)).then_some(host.address())
     }
 
-    /// Hands a call to the host's idle connection that was used last.
+    /// Hands a call to the most recently used idle connection of its host.
     ///
     /// # Errors
-    /// No idle connection leads to the host; the call is given back.
+    /// The host is unknown or none of its connections has been idle for long enough; returns the call.
     pub fn send_on_idle(&self, call: HostCall, limits: &Limits) -> Result<(), HostCall> {
         match self.hosts.borrow_mut().get_mut(&call.host) {
             Some(host) => host.send_on_idle(call, limits),
@@ -101,7 +103,7 @@
         }
     }
 
-    /// Adds a connection to the idle ones, if its host is still ready at the same address.
+    /// Registers an idle connection. Returns `None` if its host is no longer ready at the same address.
     pub fn add_idle(&self, id: HostId, peer: SocketAddr) -> Option<IdlePlace> {
         let mut hosts = self.hosts.borrow_mut();
         let host = hosts.get_mut(&id)?;
@@ -113,22 +115,22 @@
         Some(host.add_idle(serial))
     }
 
-    /// Removes a connection from the idle ones.
+    /// Removes a connection from the idle ones, which closes it if it is still idle.
     pub fn remove_idle(&self, id: HostId, serial: u64) {
         if let Some(host) = self.hosts.borrow_mut().get_mut(&id) {
             host.remove_idle(serial);
         }
     }
 
-    /// Closes the idle connections to a host.
+    /// Closes all idle connections to a host.
     pub fn close_idle(&self, id: HostId) {
         if let Some(host) = self.hosts.borrow_mut().get_mut(&id) {
             host.close_idle();
         }
     }
 
-    /// Permits one more connection. At the limit the connection that has been idle longest is closed for it; `None`
-    /// where none is idle.
+    /// Acquires a permit for one more connection to a host. At the connection limit, the connection that has been idle
+    /// longest is closed to make room; returns `None` if none is idle.
     pub fn acquire_permit(&self, id: HostId, limits: &Limits) -> Option<ConnectionPermit> {
         if self.connections.total() >= limits.upstream_connection_share() {
             match self.close_longest_idle() {
@@ -139,7 +141,7 @@
         Some(self.connections.acquire(id))
     }
 
-    /// Closes the connection that has been idle longest. Its task ends as the sender of its next call is dropped.
+    /// Closes the connection that has been idle longest. Its task ends because the sender of its next call is dropped.
     fn close_longest_idle(&self) -> Eviction {
         let mut hosts = self.hosts.borrow_mut();
         let idle = hosts
@@ -154,21 +156,21 @@
         }
     }
 
-    /// Counts a connection that was established.
+    /// Counts an established connection in the metrics.
     pub fn record_connect(&self, id: HostId) {
         if let Some(metrics) = &self.metrics {
             metrics.borrow_mut().record_connect(id);
         }
     }
 
-    /// Counts a connection that could not be established.
+    /// Counts a failed connection attempt in the metrics.
     pub fn record_connect_failure(&self, id: HostId) {
         if let Some(metrics) = &self.metrics {
             metrics.borrow_mut().record_connect_failure(id);
         }
     }
 
-    /// How many connections are open or being opened, by host.
+    /// Returns the number of connections that are open or being opened, by host.
     pub fn connections_by_host(&self) -> BTreeMap<HostId, usize> {
         self.connections.by_host()
     }
--- a/src/net/resp/upstream/tests.rs
+++ b/src/net/resp/upstream/tests.rs
@@ -1,4 +1,4 @@
-//! Commands, replies, and the connections that carry calls.
+//! Encoding of commands, interpretation of replies, and the pool of hosts and connections.
 
 use super::*;
 use crate::api::{
@@ -19,7 +19,8 @@
     limits
 }
 
-/// The arguments are forwarded unchanged, but for the wait, whose length may change.
+/// The arguments are forwarded unchanged, except the wait. Its number of digits may change, and with it the length of
+/// the argument.
 #[test]
 fn only_the_wait_is_rewritten() {
     with_limiter(&[], |limiter| async move {
@@ -46,18 +47,18 @@
     });
 }
 
-/// A reply, and the end of the call that it leads to.
+/// A reply and its expected interpretation.
 struct ReplyCase {
     bytes: &'static str,
     outcome: Outcome,
-    /// The first value of the load report.
+    /// The first value of the load report; `None` without a valid report.
     load: Option<f64>,
-    /// The connection may be used again.
+    /// Whether the connection may be reused.
     is_known_form: bool,
 }
 
 impl ReplyCase {
-    /// A reply of one of the protocol's forms.
+    /// Creates a case for a reply that has one of the forms of the protocol.
     const fn known(bytes: &'static str, outcome: Outcome, load: Option<f64>) -> Self {
         ReplyCase {
             bytes,
@@ -67,7 +68,7 @@
         }
     }
 
-    /// A reply of no form of the protocol.
+    /// Creates a case for a reply that has none of the forms of the protocol.
     const fn unknown(bytes: &'static str) -> Self {
         ReplyCase {
             bytes,
@@ -119,10 +120,10 @@
 
 fn parse(bytes: &str, limits: &Limits) -> codec::Reply {
     let parsed = codec::parse_reply(bytes.as_bytes(), limits);
-    parsed.expect("well-formed").expect("whole").reply
+    parsed.expect("well-formed").expect("complete").reply
 }
 
-/// Only a complete, well-formed value is a good outcome, and only after a known form the connection is used again.
+/// Only a complete, well-formed value is a good outcome, and a connection is reused only after a reply in a known form.
 #[test]
 fn only_a_complete_well_formed_value_is_good() {
     with_limiter(&[], |limiter| async move {
@@ -157,7 +158,8 @@
     }
 }
 
-/// Figures on usage are read beside any load report, also a malformed one; figures out of range count as missing.
+/// Usage figures are read regardless of the load report, even if that is malformed. Figures out of range count as
+/// missing.
 #[test]
 fn usage_figures_are_read_from_answers() {
     with_limiter(&[], |limiter| async move {
@@ -186,7 +188,7 @@
     });
 }
 
-/// For a moment after its answer a connection is not used again: more bytes may follow.
+/// A connection is not reused until `reuse_delay` after its answer, since more bytes may follow the answer.
 #[test]
 fn connection_is_not_reused_right_after_an_answer() {
     with_limiter(&[], |limiter| async move {
@@ -207,19 +209,19 @@
         let call = requests
             .borrow_mut()
             .begin_attempt(attempt_order(1, HostId(5)), now);
-        let mut parked = upstream
+        let mut next_call = upstream
             .add_idle(HostId(5), address)
             .expect("the host is ready")
             .next_call;
-        let back = upstream.send_on_idle(call.expect("within the cap"), limiter.limits());
-        let call = back.expect_err("it answered just now");
+        let returned = upstream.send_on_idle(call.expect("within the cap"), limiter.limits());
+        let call = returned.expect_err("it answered just now");
         tokio::time::sleep(limiter.limits().upstream.reuse_delay).await;
         assert!(upstream.send_on_idle(call, limiter.limits()).is_ok());
-        assert!(parked.try_recv().is_ok());
+        assert!(next_call.try_recv().is_ok());
     });
 }
 
-/// A call that was decided before a drain is sent within the drain grace only.
+/// A call that was decided before the host began to drain is sent only within the drain grace.
 #[test]
 fn draining_host_gets_no_calls_past_the_drain_grace() {
     with_limiter(&[], |limiter| async move {
@@ -233,21 +235,21 @@
         let drained = limits_without_drain_grace(limiter.limits());
         upstream.update_host(&entry(HostState::Ready), address);
         assert_eq!(upstream.address(HostId(5), &drained), Some(address));
-        let parked = upstream
+        let idle = upstream
             .add_idle(HostId(5), address)
             .expect("the host is ready");
         upstream.retain_listed(&[]);
         assert_eq!(upstream.address(HostId(5), limiter.limits()), Some(address));
         assert_eq!(upstream.address(HostId(5), &drained), None);
         // Its idle connections are closed, and no new ones are kept.
-        assert!(parked.next_call.await.is_err());
+        assert!(idle.next_call.await.is_err());
         assert!(upstream.add_idle(HostId(5), address).is_none());
         upstream.update_host(&entry(HostState::Ready), address);
         assert_eq!(upstream.address(HostId(5), &drained), Some(address));
     });
 }
 
-/// Hosts that are gone are forgotten past the drain grace; draining hosts are not.
+/// Hosts that are gone are removed after the drain grace; draining hosts are kept.
 #[test]
 fn gone_hosts_are_forgotten_past_the_drain_grace() {
     with_limiter(&[], |limiter| async move {
