--- a/src/net/resp/upstream/host.rs
+++ b/src/net/resp/upstream/host.rs
@@ -13,9 +13,9 @@
     since: Instant,
 }
 
-/// The registration of an idle connection in the pool.
-pub struct IdlePlace {
-    /// Serial number, unique within the pool; later registrations have higher ones.
+/// The slot of an idle connection in the pool.
+pub struct IdleSlot {
+    /// Serial number, unique within the pool; later slots have higher ones.
     pub serial: u64,
     /// Receives the next call of the connection; fails once the pool has closed the connection.
     pub next_call: oneshot::Receiver<HostCall>,
@@ -94,14 +94,14 @@
     }
 
     /// Registers an idle connection.
-    pub(super) fn add_idle(&mut self, serial: u64) -> IdlePlace {
+    pub(super) fn add_idle(&mut self, serial: u64) -> IdleSlot {
         let (sender, next_call) = oneshot::channel();
         self.idle.push(IdleConnection {
             serial,
             next_call: sender,
             since: Instant::now(),
         });
-        IdlePlace { serial, next_call }
+        IdleSlot { serial, next_call }
     }
 
     /// Removes an idle connection, which closes it.
--- a/src/net/resp/upstream/mod.rs
+++ b/src/net/resp/upstream/mod.rs
@@ -11,6 +11,6 @@
 
 pub use call_codec::{interpret, may_become_reply, usage_figures, write_command, Interpretation};
 pub use connection::UpstreamConnection;
-pub use host::IdlePlace;
+pub use host::IdleSlot;
 pub use permits::ConnectionPermit;
 pub use pool::UpstreamPool;
--- a/src/net/resp/upstream/pool.rs
+++ b/src/net/resp/upstream/pool.rs
@@ -1,6 +1,6 @@
 //! The pool of hosts and of the connections to them.
 
-use super::host::{Host, IdlePlace};
+use super::host::{Host, IdleSlot};
 use super::permits::{ConnectionCounts, ConnectionPermit};
 use crate::api::{HostEntry, HostId, HostState, ReportSource};
 use crate::net::config::Limits;
@@ -104,7 +104,7 @@
     }
 
     /// Registers an idle connection. Returns `None` if its host is no longer ready at the same address.
-    pub fn add_idle(&self, id: HostId, peer: SocketAddr) -> Option<IdlePlace> {
+    pub fn add_idle(&self, id: HostId, peer: SocketAddr) -> Option<IdleSlot> {
         let mut hosts = self.hosts.borrow_mut();
         let host = hosts.get_mut(&id)?;
         if !host.keeps_connections_to(peer) {
--- a/src/net/stages/dispatch.rs
+++ b/src/net/stages/dispatch.rs
@@ -6,7 +6,7 @@
 use crate::api::{HostId, Outcome};
 use crate::net::engine::{Cancellation, HostCall, HostCommand};
 use crate::net::resp::codec;
-use crate::net::resp::upstream::{IdlePlace, UpstreamConnection};
+use crate::net::resp::upstream::{IdleSlot, UpstreamConnection};
 use crate::net::task::spawn;
 use std::rc::Rc;
 use tokio::net::TcpStream;
@@ -65,13 +65,13 @@
         let CallEnd { result, reusable } = attempt::run(pipeline, &mut connection, &call).await;
         // The connection is idle before the engine handles the end of the call, so that the engine's next call finds
         // it.
-        let idle_place = if reusable {
+        let idle_slot = if reusable {
             pipeline.upstream.add_idle(call.host, connection.peer)
         } else {
             None
         };
         complete::complete(pipeline, &call, result);
-        let Some(IdlePlace { serial, next_call }) = idle_place else {
+        let Some(IdleSlot { serial, next_call }) = idle_slot else {
             return;
         };
         match wait_for_call(pipeline, &mut connection, next_call).await {
