--- a/src/net/resp/codec/reply.rs
+++ b/src/net/resp/codec/reply.rs
@@ -73,8 +73,8 @@
             b':' => Ok(Reply::Integer(self.integer()?)),
             b'$' => Ok(Reply::Bulk(self.cursor.bulk()?)),
             b'*' if depth < MAX_DEPTH => Ok(Reply::Array(self.members(depth)?)),
-            b'*' => Err(ParseError::malformed("arrays nest too deep")),
-            _ => Err(ParseError::malformed("no such type")),
+            b'*' => Err(ParseError::malformed("arrays are nested too deeply")),
+            _ => Err(ParseError::malformed("unknown type")),
         }
     }
 
