--- a/src/net/resp/close.rs
+++ b/src/net/resp/close.rs
@@ -9,7 +9,7 @@
 use tokio::time::timeout;
 
 /// Size of the buffer into which discarded bytes are read.
-const DROP_BYTES: usize = 4096;
+const DISCARD_BUFFER_BYTES: usize = 4096;
 
 /// The state of the receive buffer of a socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -47,8 +47,14 @@
     if stream.shutdown().await.is_err() {
         return;
     }
-    let mut dropped = [0; DROP_BYTES];
-    let drain = async { while stream.read(&mut dropped).await.is_ok_and(|count| count > 0) {} };
+    let mut discarded = [0; DISCARD_BUFFER_BYTES];
+    let drain = async {
+        while stream
+            .read(&mut discarded)
+            .await
+            .is_ok_and(|count| count > 0)
+        {}
+    };
     // The connection is reset if the peer keeps sending for longer.
     let _ = timeout(linger, drain).await;
 }
--- a/src/net/resp/downstream/closing.rs
+++ b/src/net/resp/downstream/closing.rs
@@ -10,7 +10,7 @@
 /// Whether a connection was accepted within the connection limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Admission {
-    /// It was accepted within the limit: its requests are served.
+    /// Its requests are served.
     Served,
     /// It was accepted past the limit: its requests are rejected, and it closes after its first responses.
     Rejected,
--- a/src/net/resp/downstream/connection.rs
+++ b/src/net/resp/downstream/connection.rs
@@ -53,7 +53,7 @@
     /// The connection ends.
     End(ConnectionEnd),
     /// There is more to do without waiting.
-    Again,
+    Continue,
     /// The connection waits for the client, a response, a time-out or a change of phase.
     Wait,
 }
@@ -96,7 +96,7 @@
         loop {
             let next = match self.step() {
                 Step::End(end) => return end,
-                Step::Again => ControlFlow::Continue(()),
+                Step::Continue => ControlFlow::Continue(()),
                 Step::Wait => self.wait().await,
             };
             if let ControlFlow::Break(end) = next {
@@ -118,7 +118,7 @@
             CloseDecision::Close => Step::End(ConnectionEnd::Orderly),
             CloseDecision::CloseUnlessReceived => match self.close_unless_received() {
                 ControlFlow::Break(end) => Step::End(end),
-                ControlFlow::Continue(()) => Step::Again,
+                ControlFlow::Continue(()) => Step::Continue,
             },
             CloseDecision::Keep => {
                 self.update_idle_timer(progress);
--- a/src/net/resp/downstream/input.rs
+++ b/src/net/resp/downstream/input.rs
@@ -8,7 +8,7 @@
 use tokio::time::sleep;
 
 /// Size of the buffer for reads that bypass the runtime and for discarded bytes.
-const READ_NOW_BYTES: usize = 4096;
+const READ_BUFFER_BYTES: usize = 4096;
 
 /// How the bytes that a client sends are handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -88,7 +88,7 @@
 
     /// Reads the bytes that the socket has received, bypassing the runtime.
     pub(super) fn read_now(&mut self) -> SocketState {
-        let mut received = [0; READ_NOW_BYTES];
+        let mut received = [0; READ_BUFFER_BYTES];
         let state = close::read_now(self.reader.as_ref(), &mut received);
         if let SocketState::Read(count) = state {
             self.bytes.extend_from_slice(&received[..count]);
@@ -107,18 +107,18 @@
     }
 
     async fn receive_commands(&mut self, limits: &Limits) -> ReceiveOutcome {
-        let step = limits.codec.read_chunk_bytes;
-        match codec::read_more(&mut self.reader, &mut self.bytes, step).await {
+        let chunk_bytes = limits.codec.read_chunk_bytes;
+        match codec::read_more(&mut self.reader, &mut self.bytes, chunk_bytes).await {
             Ok(()) => ReceiveOutcome::Received,
             Err(_) => ReceiveOutcome::ClientGone,
         }
     }
 
     async fn discard_to_end(&mut self) -> ReceiveOutcome {
-        let mut dropped = [0; READ_NOW_BYTES];
+        let mut discarded = [0; READ_BUFFER_BYTES];
         while self
             .reader
-            .read(&mut dropped)
+            .read(&mut discarded)
             .await
             .is_ok_and(|count| count > 0)
         {}
