--- a/src/net/counter/answer.rs
+++ b/src/net/counter/answer.rs
@@ -35,7 +35,7 @@
 
 /// The bytes received are no answer of a counter.
 #[derive(Debug, Error)]
-#[error("malformed answer of the counter")]
+#[error("malformed answer from the counter")]
 pub(super) struct MalformedAnswer;
 
 /// Parses the answer at the start of `input`; `None` where it is incomplete.
--- a/src/net/counter/receive.rs
+++ b/src/net/counter/receive.rs
@@ -18,7 +18,7 @@
     #[error(transparent)]
     Malformed(#[from] MalformedAnswer),
     /// No call waits for the answer.
-    #[error("answer of the counter to no call")]
+    #[error("answer from the counter without a pending call")]
     Unsolicited,
 }
 
--- a/src/net/discovery/connection.rs
+++ b/src/net/discovery/connection.rs
@@ -31,16 +31,16 @@
     #[error(transparent)]
     Response(#[from] ResponseError),
     /// The response has another status than 200.
-    #[error("discovery answers with status {0}")]
+    #[error("discovery responded with status {0}")]
     Status(u16),
     /// The body is not JSON.
-    #[error("discovery's list is not JSON: {0}")]
+    #[error("endpoint list from discovery is not valid JSON: {0}")]
     Json(#[from] serde_json::Error),
     /// The list is malformed.
     #[error(transparent)]
     List(#[from] ListError),
     /// The call for the full list was answered with old changes.
-    #[error("the call for the whole list is answered with changes that are old")]
+    #[error("discovery answered a request for the full list with outdated changes")]
     NoFullList,
 }
 
--- a/src/net/discovery/http.rs
+++ b/src/net/discovery/http.rs
@@ -26,25 +26,25 @@
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum ResponseError {
     /// The head is longer than allowed.
-    #[error("discovery's answer has no end to its head")]
+    #[error("response from discovery: header section exceeds 16 KiB")]
     EndlessHead,
     /// The head is not UTF-8.
-    #[error("discovery's answer is no text")]
+    #[error("response from discovery: header section is not UTF-8")]
     HeadNotText,
     /// The status line is not that of HTTP/1.
-    #[error("discovery speaks no HTTP/1")]
+    #[error("response from discovery: not an HTTP/1.x status line")]
     NotHttp,
     /// The body has neither a length nor chunks.
-    #[error("discovery's answer tells no length")]
+    #[error("response from discovery: no valid Content-Length and not chunked")]
     NoLength,
     /// The body is longer than allowed.
-    #[error("discovery's answer is too long")]
+    #[error("response from discovery: body is too long")]
     TooLong,
     /// The line before a chunk contains no length.
-    #[error("a chunk has no length")]
+    #[error("response from discovery: chunk size is missing or malformed")]
     ChunkWithoutLength,
     /// A chunk is not followed by the end of a line.
-    #[error("a chunk does not end where it should")]
+    #[error("response from discovery: chunk is not followed by CRLF")]
     ChunkOverrun,
 }
 
--- a/src/net/discovery/received_list.rs
+++ b/src/net/discovery/received_list.rs
@@ -132,7 +132,7 @@
     #[error("instances: not a list")]
     Instances,
     /// A key of a host is missing or no text.
-    #[error("instances: {key} is missing or no text in {host}")]
+    #[error("instances: {key} is missing or not a string in {host}")]
     MissingText {
         /// The key.
         key: &'static str,
@@ -140,7 +140,7 @@
         host: String,
     },
     /// The address of a host is malformed.
-    #[error("instances: hostPort is no address in {host}")]
+    #[error("instances: hostPort is not a socket address in {host}")]
     Address {
         /// The host, as JSON.
         host: String,
