--- a/src/net/counter/answer.rs
+++ b/src/net/counter/answer.rs
@@ -1,21 +1,21 @@
-//! The answers of the counter.
+//! Parser of the counter's answers.
 
 use crate::api::Outcome;
 use crate::net::config::Limits;
 use crate::net::resp::codec::{self, ParsedReply, Reply};
 use thiserror::Error;
 
-/// How a call ended.
+/// The result of a call to the counter.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct CallOutcome {
-    /// The outcome.
+    /// The outcome as reported to the decision engine.
     pub outcome: Outcome,
-    /// The total after a good call.
+    /// The total returned by a successful call, otherwise zero.
     pub total: f64,
 }
 
 impl CallOutcome {
-    /// The end of a call without a total.
+    /// Returns the result of a call that did not return a total.
     pub(super) fn failed(outcome: Outcome) -> Self {
         CallOutcome {
             outcome,
@@ -24,27 +24,27 @@
     }
 }
 
-/// An answer at the start of the bytes received.
+/// A complete answer at the start of the input.
 #[derive(Debug)]
 pub(super) struct CounterAnswer {
-    /// How the call ended.
+    /// The result of the call.
     pub outcome: CallOutcome,
     /// Length of the answer, in bytes.
     pub length: usize,
 }
 
-/// The bytes received are no answer of a counter.
+/// The received bytes are not a valid answer of the counter.
 #[derive(Debug, Error)]
 #[error("malformed answer from the counter")]
 pub(super) struct MalformedAnswer;
 
-/// Parses the answer at the start of `input`; `None` where it is incomplete.
+/// Parses the answer at the start of `input`. Returns `None` where it is incomplete.
 ///
-/// A rejection proves that nothing was added, so only the error words of the counter count as one. Bytes that cannot
-/// become an answer are malformed at once.
+/// A rejection implies that nothing was added, so only the counter's own error codes (`BUSY` and `ERR`) are accepted as
+/// one. Bytes that cannot become an answer are reported as malformed immediately.
 ///
 /// # Errors
-/// The bytes are no answer: the call may have been added.
+/// Returns an error if the bytes are not an answer. The amount of the call may have been added.
 pub(super) fn parse_answer(
     input: &[u8],
     limits: &Limits,
--- a/src/net/counter/call_queue.rs
+++ b/src/net/counter/call_queue.rs
@@ -1,4 +1,4 @@
-//! The calls of one link to the counter, reported in their order.
+//! The calls of one link to the counter, reported in the order in which they were made.
 
 use super::answer::CallOutcome;
 use super::connection::CounterConnection;
@@ -12,22 +12,22 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep_until, Instant};
 
-/// The command that adds to a counter and returns its total.
+/// The command that adds an amount to a name and returns the total.
 const ADD_COMMAND: &[u8] = b"ADDGET";
 const NANOS_PER_MS: u64 = 1_000_000;
-/// The longest time that the counter keeps a name, in milliseconds.
+/// Maximum time for which the counter can be told to keep a name, in milliseconds.
 const MAX_KEEP_MS: u64 = 60_000;
 
 /// The state of a call.
 enum CallState {
-    /// It waits for a connection.
+    /// The call waits for a connection.
     Waiting {
-        /// The bytes to be written.
+        /// The encoded command.
         command: Vec<u8>,
     },
-    /// It was given to a connection.
+    /// The command was moved to a connection's output.
     Sent,
-    /// It has ended, and calls before it may not have.
+    /// The call has ended, and is reported once all earlier calls have ended.
     Ended(CallOutcome),
 }
 
@@ -39,14 +39,15 @@
 }
 
 impl CounterCall {
-    /// Ends the call, unless it has ended.
+    /// Ends the call, unless it has ended already.
     fn end(&mut self, outcome: CallOutcome) {
         if !matches!(self.state, CallState::Ended(_)) {
             self.state = CallState::Ended(outcome);
         }
     }
 
-    /// Ends the call at its timeout, unless it has ended. A call that was never sent was not added; any other may be.
+    /// Ends the call at its timeout, unless it has ended already. The amount of a call that was never sent was not
+    /// added; that of any other call may have been.
     fn time_out(&mut self) {
         let outcome = match self.state {
             CallState::Waiting { .. } => Outcome::ConnectFailed,
@@ -55,7 +56,7 @@
         self.end(CallOutcome::failed(outcome));
     }
 
-    /// The event that reports the call and its outcome.
+    /// Converts the call and its outcome to the event that reports them.
     fn into_event(self, CallOutcome { outcome, total }: CallOutcome) -> Event {
         Event::CounterReplied {
             name: self.name,
@@ -66,22 +67,22 @@
     }
 }
 
-/// When any of the links was last answered.
+/// The time of the last answer on any link; `None` before the first one.
 pub(super) type LastAnswered = Rc<Cell<Option<Instant>>>;
 
-/// Calls in their order, whichever connection each of them is written to.
+/// The calls of one link in the order in which they were made, across its connections.
 pub(super) struct CallQueue {
     calls: RefCell<VecDeque<CounterCall>>,
-    /// How many calls have been reported: the number of the first one in the queue.
+    /// The number of calls reported so far, which is the sequence number of the first call in the queue.
     reported: Cell<u64>,
-    /// Notified when a call is added.
+    /// Notified when a call is added to the queue.
     pub added: Notify,
-    /// Shared by all queues.
+    /// The time of the last answer, shared by all queues.
     pub last_answered: LastAnswered,
 }
 
 impl CallQueue {
-    /// A queue without calls.
+    /// Creates an empty queue.
     pub(super) fn new(last_answered: LastAnswered) -> Self {
         CallQueue {
             calls: RefCell::default(),
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Adds a call. Past the limit the call is not made, but keeps its place: its end is reported behind the others.
+    /// Adds a call. If the queue is full the call is not made, and its failure is reported after the earlier calls.
     pub(super) fn push(&self, name: String, amount: f64, keep_for: Nanos, limits: &Limits) {
         let mut calls = self.calls.borrow_mut();
         let has_capacity = calls.len() < limits.counter.max_pending_calls;
@@ -111,7 +112,7 @@
         self.added.notify_one();
     }
 
-    /// Waits until the first call has timed out.
+    /// Waits until the first call times out; forever where the queue is empty.
     pub(super) async fn wait_for_timeout(&self, limits: &Limits) {
         let first = self.calls.borrow().front().map(|call| call.started_at);
         match first {
@@ -120,7 +121,7 @@
         }
     }
 
-    /// Ends the calls that have timed out, and reports.
+    /// Ends the calls that have timed out, and reports the calls that have ended.
     pub(super) fn expire(&self, limits: &Limits, engine: &EngineDriver) {
         let now = Instant::now();
         for call in self.calls.borrow_mut().iter_mut() {
@@ -132,15 +133,15 @@
         self.report(engine);
     }
 
-    /// Reports the first calls, as far as they have ended. The engine identifies calls by their order, so that a call
-    /// that has ended waits for the calls before it.
+    /// Reports the calls at the front of the queue that have ended. The engine identifies calls by their order, so a
+    /// call that has ended is reported only after all earlier calls.
     pub(super) fn report(&self, engine: &EngineDriver) {
         while let Some(event) = self.take_ended() {
             engine.handle(event);
         }
     }
 
-    /// Takes the first call from the queue if it has ended; the event that reports it.
+    /// Removes the first call from the queue and returns the event that reports it; `None` where it has not ended.
     fn take_ended(&self) -> Option<Event> {
         let mut calls = self.calls.borrow_mut();
         let CallState::Ended(outcome) = calls.front()?.state else {
@@ -151,8 +152,8 @@
         Some(call.into_event(outcome))
     }
 
-    /// Records the end of a call, unless it has ended.
-    pub(super) fn record(&self, number: u64, outcome: CallOutcome) {
+    /// Records the outcome of the call with a sequence number, unless the call has ended already.
+    pub(super) fn record_outcome(&self, number: u64, outcome: CallOutcome) {
         let Some(index) = number.checked_sub(self.reported.get()) else {
             return;
         };
@@ -161,8 +162,8 @@
         }
     }
 
-    /// Ends the calls on a connection that is of no more use, and reports. Calls whose last byte was never written
-    /// were not added; the others may have been, as after a timeout.
+    /// Closes a connection, ends its unanswered calls and reports the calls that have ended. The amounts of calls whose
+    /// last byte was never written were not added; the others may have been, as after a timeout.
     pub(super) fn abandon(&self, connection: CounterConnection, engine: &EngineDriver) {
         for call in &connection.unanswered {
             let outcome = if connection.has_written(call) {
@@ -170,14 +171,14 @@
             } else {
                 Outcome::ConnectFailed
             };
-            self.record(call.number, CallOutcome::failed(outcome));
+            self.record_outcome(call.number, CallOutcome::failed(outcome));
         }
         drop(connection);
         self.report(engine);
     }
 
-    /// Writes all calls that wait to a connection's output.
-    pub(super) fn move_to(&self, connection: &mut CounterConnection) {
+    /// Moves the commands of all waiting calls to a connection's output.
+    pub(super) fn send_waiting(&self, connection: &mut CounterConnection) {
         let first = self.reported.get();
         for (number, call) in (first..).zip(self.calls.borrow_mut().iter_mut()) {
             if let CallState::Waiting { command } = &mut call.state {
@@ -187,7 +188,7 @@
         }
     }
 
-    /// Whether there are calls without an end.
+    /// Returns whether all calls have been reported.
     #[cfg(test)]
     pub(super) fn is_empty(&self) -> bool {
         self.calls.borrow().is_empty()
--- a/src/net/counter/client.rs
+++ b/src/net/counter/client.rs
@@ -1,4 +1,4 @@
-//! The calls of a limiter to the counter, spread over a few links by their names.
+//! The counter client, which distributes calls over a few links by name.
 
 use super::call_queue::{CallQueue, LastAnswered};
 use crate::api::{Event, Nanos, Outcome};
@@ -8,17 +8,17 @@
 use std::rc::Rc;
 use tokio::sync::watch;
 
-/// The connections to the counter, and the calls on them.
+/// The counter client of a limiter.
 pub struct CounterClient {
     pub(super) limits: Rc<Limits>,
     pub(super) engine: Rc<EngineDriver>,
     pub(super) addresses: watch::Receiver<Addresses>,
-    /// One for each link.
+    /// The call queues, one per link.
     pub(super) queues: Vec<Rc<CallQueue>>,
 }
 
 impl CounterClient {
-    /// A client without connections.
+    /// Creates a client. [`start`](super::start) opens its connections.
     pub fn new(
         limits: &Rc<Limits>,
         engine: &Rc<EngineDriver>,
@@ -36,8 +36,8 @@
         }
     }
 
-    /// Adds `amount` to a name, which the counter keeps for `keep_for` at least; exactly one [`Event::CounterReplied`]
-    /// follows.
+    /// Adds `amount` to a name, which the counter keeps for at least `keep_for` nanoseconds, up to 60 s. Exactly one
+    /// [`Event::CounterReplied`] follows.
     pub fn call(&self, name: String, amount: f64, keep_for: Nanos) {
         if self.addresses.borrow().counter.is_none() {
             return self.engine.handle(Event::CounterReplied {
--- a/src/net/counter/connection.rs
+++ b/src/net/counter/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to the counter, and the calls that wait for an answer on it.
+//! A connection to the counter and its unanswered calls.
 
 use super::liveness::CallProgress;
 use crate::net::config::Limits;
@@ -7,53 +7,53 @@
 use std::io;
 use tokio::net::TcpStream;
 
-/// A call whose command was written, or is about to be.
-pub(super) struct WrittenCall {
-    /// The call's number in its queue.
+/// A call whose command was appended to the output of a connection and that has no answer yet.
+pub(super) struct UnansweredCall {
+    /// The sequence number of the call in its queue.
     pub number: u64,
-    /// How many bytes the connection has carried once the call's last byte is written.
-    pub end: u64,
+    /// Offset of the end of the command in the byte stream of the connection.
+    pub end_offset: u64,
 }
 
 /// A connection to the counter.
 pub(super) struct CounterConnection {
-    /// The socket.
+    /// The connected socket.
     pub stream: TcpStream,
-    /// Bytes received and not parsed yet.
+    /// Bytes received but not parsed yet.
     pub input: Vec<u8>,
-    /// Bytes to be written.
+    /// Bytes not written yet.
     pub output: Vec<u8>,
-    /// Bytes written so far.
-    flushed: u64,
-    /// The counter has answered a call on this connection.
+    /// Number of bytes written so far.
+    bytes_written: u64,
+    /// Whether any answer was received on this connection.
     pub has_answered: bool,
-    /// The calls without an answer, oldest first.
-    pub unanswered: VecDeque<WrittenCall>,
+    /// The calls that have no answer yet, oldest first.
+    pub unanswered: VecDeque<UnansweredCall>,
 }
 
 impl CounterConnection {
-    /// A fresh connection.
+    /// Creates a connection without calls on a connected socket.
     pub(super) fn new(stream: TcpStream) -> Self {
         CounterConnection {
             stream,
             input: Vec::new(),
             output: Vec::new(),
-            flushed: 0,
+            bytes_written: 0,
             has_answered: false,
             unanswered: VecDeque::new(),
         }
     }
 
-    /// Appends a call to the bytes to be written.
+    /// Appends the command of a call to the output, and leaves `command` empty.
     pub(super) fn append(&mut self, number: u64, command: &mut Vec<u8>) {
         self.output.append(command);
-        self.unanswered.push_back(WrittenCall {
+        self.unanswered.push_back(UnansweredCall {
             number,
-            end: self.flushed + self.output.len() as u64,
+            end_offset: self.bytes_written + self.output.len() as u64,
         });
     }
 
-    /// Whether calls wait for an answer, and whether others were answered before.
+    /// Returns whether calls wait for an answer, and whether any was received before.
     pub(super) fn call_progress(&self) -> CallProgress {
         if self.unanswered.is_empty() {
             CallProgress::NoneWaiting
@@ -64,20 +64,20 @@
         }
     }
 
-    /// Whether the last byte of a call has been written.
-    pub(super) fn has_written(&self, call: &WrittenCall) -> bool {
-        call.end <= self.flushed
+    /// Returns whether the last byte of a call has been written.
+    pub(super) fn has_written(&self, call: &UnansweredCall) -> bool {
+        call.end_offset <= self.bytes_written
     }
 
-    /// Writes as much as the socket takes.
+    /// Writes as much of the output as the socket accepts without blocking.
     ///
     /// # Errors
-    /// The connection is broken.
+    /// Returns an error if the connection has failed.
     pub(super) fn flush(&mut self, limits: &Limits) -> io::Result<()> {
         while !self.output.is_empty() {
             match self.stream.try_write(&self.output) {
                 Ok(count) => {
-                    self.flushed += count as u64;
+                    self.bytes_written += count as u64;
                     codec::consume(&mut self.output, count, limits.codec.read_chunk_bytes);
                 }
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => break,
--- a/src/net/counter/drain.rs
+++ b/src/net/counter/drain.rs
@@ -1,4 +1,4 @@
-//! A connection to an address that the counter has left: it takes no further calls, and its answers are still read.
+//! Draining a connection after the counter's address has changed: it gets no new calls, and its answers are still read.
 
 use super::call_queue::CallQueue;
 use super::client::CounterClient;
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use tokio::time::timeout;
 
-/// Serves a connection until all its calls are answered, or have timed out.
+/// Reads answers on a connection until all its calls are answered or have timed out, and closes it.
 pub(super) async fn drain(
     client: Rc<CounterClient>,
     queue: Rc<CallQueue>,
@@ -17,7 +17,7 @@
 ) {
     let call_timeout = client.limits.counter.call_timeout.get();
     let answers = read_remaining_answers(&client, &queue, &mut connection);
-    // Past the time the calls are given up, as after a failure.
+    // After the timeout the remaining calls are ended as after a failed connection.
     let _ = timeout(call_timeout, answers).await;
     queue.abandon(connection, &client.engine);
 }
@@ -37,7 +37,7 @@
     }
 }
 
-/// Waits until bytes were received, or more can be written.
+/// Waits until bytes are received or more can be written.
 async fn wait_for_bytes(
     client: &CounterClient,
     connection: &mut CounterConnection,
--- a/src/net/counter/link.rs
+++ b/src/net/counter/link.rs
@@ -1,10 +1,10 @@
-//! The task that keeps one connection to the counter up and its calls reported in time.
+//! The task that maintains one connection to the counter, and that times out calls while there is none.
 
 use super::call_queue::CallQueue;
 use super::client::CounterClient;
 use super::connection::CounterConnection;
 use super::drain::drain;
-use super::liveness::{ConnectionState, DeadlineVerdict, Liveness, LivenessTimeouts};
+use super::liveness::{ConnectionState, DeadlineAction, Liveness, LivenessTimeouts};
 use super::receive::{record_answers, record_unread_answers, UnreadAnswers};
 use crate::net::config::{Addresses, Limits};
 use crate::net::resp::codec;
@@ -16,44 +16,44 @@
 use tokio::sync::watch;
 use tokio::time::{sleep_until, timeout_at, Instant};
 
-/// Starts a link for each of the client's queues.
+/// Spawns a link for each of the client's queues.
 pub fn start(client: &Rc<CounterClient>) {
     for queue in &client.queues {
         spawn(Link::new(client.clone(), queue.clone()).run());
     }
 }
 
-/// Why a connection is no longer served.
+/// The reason why a connection is no longer served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ConnectionEnd {
-    /// It had nothing to do for long.
+    /// The connection was idle for too long.
     Idle,
-    /// It failed, or is of no more use.
+    /// The connection failed, was silent for too long, or received bytes that do not answer its calls.
     Failed,
-    /// The counter has another address now.
+    /// The address of the counter has changed.
     AddressChanged,
 }
 
-/// The event that a served connection waited for.
+/// The event that ends the wait of a served connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Wakeup {
     /// Bytes were received.
     Received,
-    /// The counter has closed the connection, or it has failed.
+    /// The counter has closed the connection, or the connection has failed.
     Disconnected,
-    /// More can be written.
+    /// The socket accepts more output.
     Writable,
-    /// A call was added.
+    /// A call was added to the queue.
     CallAdded,
-    /// The first call has timed out.
+    /// The first call in the queue has timed out.
     CallTimedOut,
-    /// The counter has another address now.
+    /// The address of the counter has changed.
     AddressChanged,
-    /// The deadline of the connection's state is past.
+    /// The deadline of the connection's state has passed.
     DeadlinePassed,
 }
 
-/// A queue of calls and the connection that they are written to.
+/// A queue of calls, and the task that writes them to a connection.
 pub(super) struct Link {
     client: Rc<CounterClient>,
     queue: Rc<CallQueue>,
@@ -61,7 +61,7 @@
 }
 
 impl Link {
-    /// A link without a connection.
+    /// Creates a link without a connection.
     pub(super) fn new(client: Rc<CounterClient>, queue: Rc<CallQueue>) -> Self {
         let addresses = client.addresses.clone();
         Link {
@@ -75,16 +75,16 @@
         self.client.limits.clone()
     }
 
-    /// Keeps a connection up for good, and reports calls in time while there is none.
+    /// Connects and reconnects forever, and times out calls while there is no connection.
     pub(super) async fn run(mut self) {
         loop {
             let Some(address) = self.addresses.borrow_and_update().counter else {
-                // Without a sender the address never changes again; the process is ending.
+                // An error means that the sender was dropped: the address no longer changes, and the process is ending.
                 let _ = self.addresses.changed().await;
                 continue;
             };
             let Some(stream) = self.connect(address).await else {
-                self.pause().await;
+                self.wait_to_reconnect().await;
                 continue;
             };
             let mut connection = CounterConnection::new(stream);
@@ -96,9 +96,9 @@
                 ConnectionEnd::Failed => {
                     let has_answered = connection.has_answered;
                     self.abandon(connection);
-                    // A counter that has answered is at work: only this connection was at fault.
+                    // A counter that has answered is running, so only this connection has failed.
                     if !has_answered {
-                        self.pause().await;
+                        self.wait_to_reconnect().await;
                     }
                 }
             }
@@ -113,7 +113,7 @@
         self.queue.expire(&self.client.limits, &self.client.engine);
     }
 
-    /// Connects to the counter, unless it takes too long or the address changes meanwhile.
+    /// Connects to the counter. Returns `None` if connecting fails or times out, or if the address changes meanwhile.
     async fn connect(&mut self, address: SocketAddr) -> Option<TcpStream> {
         let limits = self.limits();
         let connect_by = Instant::now() + limits.connect_timeout.get();
@@ -123,7 +123,7 @@
             tokio::select! {
                 connected = &mut connect => {
                     let stream = connected.ok()?.ok()?;
-                    // Without it calls are a little later; the connection works all the same.
+                    // A failure is harmless: without `TCP_NODELAY` calls are only slightly delayed.
                     let _ = stream.set_nodelay(true);
                     return Some(stream);
                 }
@@ -137,8 +137,9 @@
         }
     }
 
-    /// The pause before a new connection, in which calls time out as ever. A new address ends it.
-    async fn pause(&mut self) {
+    /// Waits before reconnecting, until the reconnect pause is over or the address changes. Calls still time out
+    /// meanwhile.
+    async fn wait_to_reconnect(&mut self) {
         let limits = self.limits();
         let until = Instant::now() + limits.reconnect_pause;
         while Instant::now() < until && !self.has_new_address() {
@@ -155,7 +156,7 @@
         self.addresses.has_changed().unwrap_or(false)
     }
 
-    /// Serves a connection until it fails, stays silent, has nothing to do for long, or the counter's address changes.
+    /// Serves a connection until it fails, is silent or idle for too long, or the counter's address changes.
     async fn serve(&mut self, connection: &mut CounterConnection) -> ConnectionEnd {
         let mut liveness = Liveness::new(Instant::now());
         loop {
@@ -165,7 +166,7 @@
         }
     }
 
-    /// Writes the calls that wait, then waits for one wakeup and handles it.
+    /// Writes the waiting calls, then waits for one wakeup and handles it.
     async fn serve_once(
         &mut self,
         connection: &mut CounterConnection,
@@ -174,15 +175,15 @@
         if self.has_new_address() {
             return ControlFlow::Break(ConnectionEnd::AddressChanged);
         }
-        self.queue.move_to(connection);
+        self.queue.send_waiting(connection);
         if connection.flush(&self.client.limits).is_err() {
             return ControlFlow::Break(ConnectionEnd::Failed);
         }
         let state = self.connection_state(connection, liveness);
         if self.is_other_connection_answered(state) {
-            return self.read_or_give_up(connection, liveness);
+            return self.read_or_fail(connection, liveness);
         }
-        match self.wait(connection, state.deadline()).await {
+        match self.wait_for_wakeup(connection, state.deadline()).await {
             Wakeup::Received => self.handle_received(connection, liveness),
             Wakeup::Disconnected => ControlFlow::Break(ConnectionEnd::Failed),
             Wakeup::DeadlinePassed => handle_deadline(state),
@@ -215,7 +216,11 @@
         liveness.state(connection.call_progress(), timeouts, now)
     }
 
-    async fn wait(&mut self, connection: &mut CounterConnection, deadline: Instant) -> Wakeup {
+    async fn wait_for_wakeup(
+        &mut self,
+        connection: &mut CounterConnection,
+        deadline: Instant,
+    ) -> Wakeup {
         let limits = self.limits();
         let step = limits.codec.read_chunk_bytes;
         let (mut reader, writer) = connection.stream.split();
@@ -247,7 +252,7 @@
         ControlFlow::Continue(())
     }
 
-    /// Whether another connection was answered while this one was silent.
+    /// Returns whether another connection was answered while this one was silent; `false` unless it is suspect.
     fn is_other_connection_answered(&self, state: ConnectionState) -> bool {
         match state {
             ConnectionState::Suspect {
@@ -262,8 +267,8 @@
         }
     }
 
-    /// Reads the answers that lie unread on a suspect connection, or gives it up where there are none.
-    fn read_or_give_up(
+    /// Records the unread answers on a suspect connection, and fails the connection where there are none.
+    fn read_or_fail(
         &self,
         connection: &mut CounterConnection,
         liveness: &mut Liveness,
@@ -281,9 +286,9 @@
 }
 
 fn handle_deadline(state: ConnectionState) -> ControlFlow<ConnectionEnd> {
-    match state.verdict_at_deadline() {
-        DeadlineVerdict::Close => ControlFlow::Break(ConnectionEnd::Idle),
-        DeadlineVerdict::Fail => ControlFlow::Break(ConnectionEnd::Failed),
-        DeadlineVerdict::Suspect => ControlFlow::Continue(()),
+    match state.action_at_deadline() {
+        DeadlineAction::Close => ControlFlow::Break(ConnectionEnd::Idle),
+        DeadlineAction::Fail => ControlFlow::Break(ConnectionEnd::Failed),
+        DeadlineAction::Suspect => ControlFlow::Continue(()),
     }
 }
--- a/src/net/counter/liveness.rs
+++ b/src/net/counter/liveness.rs
@@ -1,6 +1,6 @@
-//! When a connection to the counter is given up: its state, with the deadlines that follow from it.
+//! State of a connection to the counter, and the deadlines after which it is closed.
 //!
-//! Knows neither sockets nor calls.
+//! This module uses neither sockets nor calls.
 
 use crate::net::config::Limits;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 #[cfg(test)]
 mod tests;
 
-/// A connection whose calls wait for this many call timeouts without an answer is compared with other connections.
+/// Time without an answer after which a connection becomes suspect and is compared with others, in call timeouts.
 const SUSPECT_AFTER_CALL_TIMEOUTS: u32 = 2;
 
 /// The state of a connection to the counter, with its deadlines.
@@ -17,50 +17,50 @@
 pub(super) enum ConnectionState {
     /// No call waits for an answer.
     Idle {
-        /// The connection is closed then.
+        /// When the connection is closed.
         close_at: Instant,
     },
-    /// An answer has begun, and its end has not been received.
+    /// A part of an answer has been received.
     ReceivingAnswer {
-        /// The connection is given up then: its answer never ends.
+        /// When the connection fails because the answer is still incomplete.
         fail_at: Instant,
     },
-    /// Calls wait for the first answer on this connection. It is not compared with other connections: a counter that
-    /// accepts connections and answers none must not get ever more of them.
+    /// Calls wait for the first answer on this connection. It is not compared with others, because a counter that
+    /// accepts connections but never answers would get more and more of them.
     AwaitingFirstAnswer {
-        /// The connection is given up then.
+        /// When the connection fails.
         fail_at: Instant,
     },
-    /// Calls wait for an answer, on a connection that was answered before.
+    /// Calls wait for an answer on a connection that has received answers before.
     AwaitingAnswer {
-        /// The connection is suspect from then on.
+        /// When the connection becomes suspect.
         suspect_at: Instant,
-        /// The connection is given up then.
+        /// When the connection fails.
         fail_at: Instant,
     },
-    /// Calls have waited for so long that the connection is given up early where others were answered meanwhile: while
-    /// a connection is silent, a part of the customers stays uncounted.
+    /// Calls have waited for so long that the connection fails early if another one was answered meanwhile. This
+    /// shortens the time in which the customers on a silent connection are not counted.
     Suspect {
-        /// The connection is given up if another one was answered since.
+        /// The connection fails if another one was answered at this time or later.
         others_answered_since: Instant,
-        /// The connection is given up then in any case.
+        /// When the connection fails in any case.
         fail_at: Instant,
     },
 }
 
-/// The consequence of a deadline that has passed.
+/// The action to take once a deadline has passed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum DeadlineVerdict {
-    /// It is closed: it had nothing to do for long.
+pub(super) enum DeadlineAction {
+    /// Close the connection, which was idle for too long.
     Close,
-    /// It is given up: it was silent for too long.
+    /// Fail the connection, which was silent for too long.
     Fail,
-    /// It becomes suspect.
+    /// Treat the connection as suspect.
     Suspect,
 }
 
 impl ConnectionState {
-    /// The end of the state, unless the connection makes progress before.
+    /// Returns the time at which the state ends unless the connection makes progress before.
     pub(super) fn deadline(&self) -> Instant {
         match *self {
             ConnectionState::Idle { close_at } => close_at,
@@ -74,43 +74,46 @@
         }
     }
 
-    /// The consequence once [`Self::deadline`] has passed.
-    pub(super) fn verdict_at_deadline(&self) -> DeadlineVerdict {
+    /// Returns the action to take once [`Self::deadline`] has passed.
+    pub(super) fn action_at_deadline(&self) -> DeadlineAction {
         match self {
-            ConnectionState::Idle { .. } => DeadlineVerdict::Close,
+            ConnectionState::Idle { .. } => DeadlineAction::Close,
             ConnectionState::AwaitingAnswer {
                 suspect_at,
                 fail_at,
-            } if suspect_at <= fail_at => DeadlineVerdict::Suspect,
+            } if suspect_at <= fail_at => DeadlineAction::Suspect,
             ConnectionState::ReceivingAnswer { .. }
             | ConnectionState::AwaitingFirstAnswer { .. }
             | ConnectionState::AwaitingAnswer { .. }
-            | ConnectionState::Suspect { .. } => DeadlineVerdict::Fail,
+            | ConnectionState::Suspect { .. } => DeadlineAction::Fail,
         }
     }
 }
 
-/// The calls of a connection, as far as its state follows from them.
+/// The progress of a connection's calls, which determines its state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CallProgress {
     /// No call waits for an answer.
     NoneWaiting,
-    /// Calls wait, and none was ever answered on the connection.
+    /// Calls wait, and no answer was ever received on the connection.
     NeverAnswered,
-    /// Calls wait, and others were answered before.
+    /// Calls wait, and answers were received before.
     AnsweredBefore,
 }
 
-/// The durations after which a connection is closed or given up.
+/// The durations after which a connection is closed or fails.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LivenessTimeouts {
+    /// The timeout of a call, and of an incomplete answer.
     call: Duration,
+    /// The time without progress after which a connection with waiting calls fails.
     silence: Duration,
+    /// The time without calls after which a connection is closed.
     idle: Duration,
 }
 
 impl LivenessTimeouts {
-    /// The timeouts of the configuration in force.
+    /// Returns the timeouts of the current configuration.
     pub(super) fn from_limits(limits: &Limits) -> Self {
         LivenessTimeouts {
             call: limits.counter.call_timeout.get(),
@@ -120,49 +123,49 @@
     }
 }
 
-/// The moments from which the deadlines of a connection run.
+/// The times from which the deadlines of a connection are calculated.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Liveness {
-    /// When bytes were last received, or the connection last had nothing to do.
+    /// When bytes were last received, or when a call last ended an idle period.
     last_progress: Instant,
-    /// When the answer began that is not complete yet.
-    answer_began: Option<Instant>,
+    /// When the first part of an incomplete answer was received; `None` without an incomplete answer.
+    answer_started_at: Option<Instant>,
 }
 
 impl Liveness {
-    /// A connection that was opened at a moment.
+    /// Creates the state of a connection opened at `now`.
     pub(super) fn new(now: Instant) -> Self {
         Liveness {
             last_progress: now,
-            answer_began: None,
+            answer_started_at: None,
         }
     }
 
-    /// Records that the connection makes progress.
+    /// Records progress, which restarts all deadlines but that of an incomplete answer.
     pub(super) fn record_progress(&mut self, now: Instant) {
         self.last_progress = now;
     }
 
-    /// Records that a part of an answer waits for the remaining part.
+    /// Records that an answer is incomplete. The time of its first part is kept.
     pub(super) fn record_partial_answer(&mut self, now: Instant) {
-        self.answer_began.get_or_insert(now);
+        self.answer_started_at.get_or_insert(now);
     }
 
-    /// Records that no part of an answer waits for the remaining part.
+    /// Records that there is no incomplete answer.
     pub(super) fn record_complete_answers(&mut self) {
-        self.answer_began = None;
+        self.answer_started_at = None;
     }
 
-    /// The state at a moment.
+    /// Returns the state at `now`.
     pub(super) fn state(
         &self,
         calls: CallProgress,
         timeouts: LivenessTimeouts,
         now: Instant,
     ) -> ConnectionState {
-        if let Some(began) = self.answer_began {
+        if let Some(started_at) = self.answer_started_at {
             return ConnectionState::ReceivingAnswer {
-                fail_at: began + timeouts.call,
+                fail_at: started_at + timeouts.call,
             };
         }
         let fail_at = self.last_progress + timeouts.silence;
@@ -179,7 +182,7 @@
                         fail_at,
                     }
                 } else {
-                    // Its calls were made by then; an answer to another connection since shows that the counter works.
+                    // Calls were waiting by then, so a later answer on another connection shows that the counter works.
                     ConnectionState::Suspect {
                         others_answered_since: suspect_at - timeouts.call,
                         fail_at,
--- a/src/net/counter/liveness/tests.rs
+++ b/src/net/counter/liveness/tests.rs
@@ -1,4 +1,4 @@
-//! The states of a connection, and their deadlines.
+//! Tests of the states of a connection and of their deadlines.
 
 use super::*;
 
@@ -12,7 +12,7 @@
     idle: IDLE,
 };
 
-/// The state of a connection that has received nothing since `start`.
+/// Returns the state of a connection `elapsed` after `start`, since when it has received nothing.
 fn state_after(calls: CallProgress, start: Instant, elapsed: Duration) -> ConnectionState {
     Liveness::new(start).state(calls, TIMEOUTS, start + elapsed)
 }
@@ -22,7 +22,7 @@
     let start = Instant::now();
     let state = state_after(CallProgress::NoneWaiting, start, Duration::ZERO);
     assert_eq!(state.deadline(), start + IDLE);
-    assert_eq!(state.verdict_at_deadline(), DeadlineVerdict::Close);
+    assert_eq!(state.action_at_deadline(), DeadlineAction::Close);
 }
 
 #[test]
@@ -31,7 +31,7 @@
     for elapsed in [Duration::ZERO, 2 * CALL, SILENCE] {
         let state = state_after(CallProgress::NeverAnswered, start, elapsed);
         assert_eq!(state.deadline(), start + SILENCE);
-        assert_eq!(state.verdict_at_deadline(), DeadlineVerdict::Fail);
+        assert_eq!(state.action_at_deadline(), DeadlineAction::Fail);
     }
 }
 
@@ -44,7 +44,7 @@
         (2 * CALL).saturating_sub(CALL / 10),
     );
     assert_eq!(state.deadline(), start + 2 * CALL);
-    assert_eq!(state.verdict_at_deadline(), DeadlineVerdict::Suspect);
+    assert_eq!(state.action_at_deadline(), DeadlineAction::Suspect);
 }
 
 #[test]
@@ -58,11 +58,11 @@
             fail_at: start + SILENCE,
         }
     );
-    assert_eq!(state.verdict_at_deadline(), DeadlineVerdict::Fail);
+    assert_eq!(state.action_at_deadline(), DeadlineAction::Fail);
 }
 
 #[test]
-fn connection_fails_without_suspicion_where_calls_may_take_longer_than_the_silence() {
+fn connection_fails_without_becoming_suspect_when_two_call_timeouts_exceed_the_silence_timeout() {
     let start = Instant::now();
     let timeouts = LivenessTimeouts {
         call: SILENCE,
@@ -70,7 +70,7 @@
     };
     let state = Liveness::new(start).state(CallProgress::AnsweredBefore, timeouts, start);
     assert_eq!(state.deadline(), start + SILENCE);
-    assert_eq!(state.verdict_at_deadline(), DeadlineVerdict::Fail);
+    assert_eq!(state.action_at_deadline(), DeadlineAction::Fail);
 }
 
 #[test]
@@ -86,7 +86,7 @@
     ] {
         let state = liveness.state(calls, TIMEOUTS, start + 2 * CALL);
         assert_eq!(state.deadline(), start + 2 * CALL);
-        assert_eq!(state.verdict_at_deadline(), DeadlineVerdict::Fail);
+        assert_eq!(state.action_at_deadline(), DeadlineAction::Fail);
     }
     liveness.record_complete_answers();
     let state = liveness.state(CallProgress::NoneWaiting, TIMEOUTS, start + 2 * CALL);
--- a/src/net/counter/mod.rs
+++ b/src/net/counter/mod.rs
@@ -1,7 +1,7 @@
-//! The client of the counter service: a few lasting connections, on which calls are pipelined.
+//! Client of the counter service, which pipelines calls on a few long-lived connections.
 //!
-//! All calls on one name use the same link, which reports them in their order, whichever connection each of them was
-//! written to.
+//! All calls for one name use the same link. A link reports its calls in the order in which they were made, whichever
+//! connection each of them was written to.
 
 mod answer;
 mod call_queue;
--- a/src/net/counter/receive.rs
+++ b/src/net/counter/receive.rs
@@ -1,4 +1,4 @@
-//! Reading the answers on a connection to the counter.
+//! Reading of answers from a connection to the counter.
 
 use super::answer::{parse_answer, MalformedAnswer};
 use super::call_queue::CallQueue;
@@ -8,35 +8,35 @@
 use thiserror::Error;
 use tokio::time::Instant;
 
-/// How many unread bytes are read from a connection that seems silent.
-const UNREAD_BYTES: usize = 256;
+/// Maximum number of bytes read from a suspect connection before its answers are recorded.
+const MAX_UNREAD_BYTES: usize = 256;
 
-/// A connection carries bytes that answer none of its calls, and is of no more use.
+/// The reason why received bytes do not answer a call. The connection cannot be used any longer.
 #[derive(Debug, Error)]
 pub(super) enum AnswerError {
-    /// The bytes are malformed: their call may have been added.
+    /// The bytes are malformed. The amount of their call may have been added.
     #[error(transparent)]
     Malformed(#[from] MalformedAnswer),
-    /// No call waits for the answer.
+    /// No call is waiting for the answer.
     #[error("answer from the counter without a pending call")]
     Unsolicited,
 }
 
-/// The answers that lay unread on a connection that seemed silent.
+/// The result of [`record_unread_answers`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum UnreadAnswers {
-    /// Bytes were read, and their answers recorded.
+    /// Bytes were read, and the complete answers among them were recorded.
     Received,
-    /// Nothing lay there.
+    /// There were no bytes to read, or the read failed.
     None,
-    /// Bytes were read that answer none of the connection's calls.
+    /// Bytes were read that do not answer the calls of the connection.
     Malformed,
 }
 
-/// Records the complete answers received, each as that of the oldest call without one, and reports the calls.
+/// Records each complete answer received as that of the oldest unanswered call, and reports the calls that have ended.
 ///
 /// # Errors
-/// The bytes received do not answer the calls of the connection.
+/// Returns an error if the received bytes do not answer the calls of the connection.
 pub(super) fn record_answers(
     client: &CounterClient,
     queue: &CallQueue,
@@ -62,20 +62,20 @@
         queue.last_answered.set(Some(Instant::now()));
         let call = connection.unanswered.pop_front();
         let call = call.ok_or(AnswerError::Unsolicited)?;
-        // A call that has timed out keeps that outcome.
-        queue.record(call.number, answer.outcome);
+        // A call that has already timed out keeps that outcome.
+        queue.record_outcome(call.number, answer.outcome);
     }
     Ok(())
 }
 
-/// Records the answers that lie unread on a connection that seems silent: after the process was suspended, all answers
-/// lie there.
+/// Records the answers that are still unread on a connection that seems silent. After the process was suspended, the
+/// answers to all calls are unread.
 pub(super) fn record_unread_answers(
     client: &CounterClient,
     queue: &CallQueue,
     connection: &mut CounterConnection,
 ) -> UnreadAnswers {
-    let mut unread = [0; UNREAD_BYTES];
+    let mut unread = [0; MAX_UNREAD_BYTES];
     match connection.stream.try_read(&mut unread) {
         Ok(count) if count > 0 => connection.input.extend_from_slice(&unread[..count]),
         _ => return UnreadAnswers::None,
--- a/src/net/counter/tests.rs
+++ b/src/net/counter/tests.rs
@@ -1,4 +1,4 @@
-//! Calls and answers that race with timeouts, address changes and failed connections.
+//! Tests of races between calls or answers and timeouts, address changes and failed connections.
 
 use super::answer::{parse_answer, CallOutcome};
 use super::call_queue::CallQueue;
@@ -15,8 +15,9 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{sleep, timeout, Instant};
 
-/// How long the counter keeps a name, in nanoseconds and as the end of the command.
+/// The time for which the counter keeps a name, in nanoseconds.
 const KEEP_FOR: u64 = 4_000_000_000;
+/// The end of a command with [`KEEP_FOR`].
 const COMMAND_END: &[u8] = b"4000\r\n";
 
 /// Runs a test on a limiter whose counter is at `address` and whose calls time out after `call_timeout`.
@@ -33,7 +34,7 @@
     with_limiter(&changes, test);
 }
 
-/// A counter that the test answers for.
+/// A counter server whose answers are determined by the test.
 struct ScriptedCounter {
     listener: TcpListener,
 }
@@ -58,7 +59,7 @@
 }
 
 impl CounterStream {
-    /// Reads until as many calls have been received.
+    /// Reads until `count` complete calls have been received.
     async fn read_calls(&mut self, count: usize) {
         let mut bytes = Vec::new();
         while bytes.windows(6).filter(|six| six == b"ADDGET").count() < count
@@ -85,7 +86,7 @@
     limiter.counter().call("q7.1".to_owned(), amount, KEEP_FOR);
 }
 
-/// Starts the link of the calls that were made; its queue.
+/// Starts the link of the first queue that contains calls, and returns the queue.
 fn start_link(limiter: &Rc<Limiter>) -> Rc<CallQueue> {
     let client = limiter.counter();
     let mut queues = client.queues.iter();
@@ -96,7 +97,7 @@
     queue.clone()
 }
 
-/// The outcome of the next call that is reported to the engine.
+/// Returns the result of the next call that is reported to the engine.
 async fn next_outcome(limiter: &Rc<Limiter>) -> CallOutcome {
     match next(limiter).await {
         Event::CounterReplied { outcome, total, .. } => CallOutcome { outcome, total },
@@ -104,7 +105,7 @@
     }
 }
 
-/// The outcome of a good call.
+/// Returns the result of a successful call.
 fn good(total: f64) -> CallOutcome {
     CallOutcome {
         outcome: Outcome::Good,
@@ -112,7 +113,7 @@
     }
 }
 
-/// Late answers belong to the calls that timed out, and not to the calls that wait now.
+/// Late answers are matched to the calls that timed out, and not to the calls that are waiting now.
 #[test]
 fn late_answers_are_matched_to_their_calls() {
     let call_timeout = Duration::from_millis(200);
@@ -134,8 +135,8 @@
     });
 }
 
-/// A connection that ends fails its call, which may have been added; the next connection serves further calls, also
-/// where the counter rejects one.
+/// When a connection ends, its call times out because its amount may have been added. The next connection serves
+/// further calls, even after the counter rejects one.
 #[test]
 fn link_continues_on_a_new_connection() {
     let call_timeout = Duration::from_millis(200);
@@ -161,7 +162,7 @@
     });
 }
 
-/// Calls that were never sent were not added, and are reported so in time.
+/// Calls that were never sent are reported as not added once they time out.
 #[test]
 fn calls_without_a_connection_are_reported_as_not_added() {
     let changes = [("127.0.0.1:7002", "127.77.0.21:7002")];
@@ -176,7 +177,7 @@
     });
 }
 
-/// Calls written to a counter that has moved are answered there, and reported before the calls made after them.
+/// After an address change, calls already written are answered on the old connection, and reported before later calls.
 #[test]
 fn address_change_keeps_the_order_and_loses_no_call() {
     let call_timeout = Duration::from_secs(2);
@@ -209,7 +210,7 @@
     });
 }
 
-/// Only an error word of the counter proves that nothing was added.
+/// Only the counter's own error codes are parsed as a rejection, which implies that nothing was added.
 #[test]
 fn answers_are_parsed_and_malformed_ones_refused() {
     with_limiter(&[], |limiter| async move {
@@ -241,9 +242,9 @@
     });
 }
 
-/// A silent connection is kept while no other one is answered, and given up early once another one is.
+/// A silent connection is kept while no other one is answered, and fails early once another one is answered.
 #[test]
-fn silent_connection_is_given_up_early_once_another_is_answered() {
+fn silent_connection_fails_early_once_another_is_answered() {
     let call_timeout = Duration::from_millis(50);
     with_counter("127.77.0.24:7002", call_timeout, |limiter| async move {
         let counter = ScriptedCounter::bind("127.77.0.24:7002").await;
@@ -269,10 +270,10 @@
     });
 }
 
-/// A connection that was never answered is kept for its whole time, also where others are answered and where the
-/// connection before it was answered.
+/// A connection without a first answer is kept for the whole silence timeout, even if other connections are answered
+/// and the previous connection was answered.
 #[test]
-fn connection_without_a_first_answer_is_not_given_up_early() {
+fn connection_without_a_first_answer_does_not_fail_early() {
     let call_timeout = Duration::from_millis(50);
     with_counter("127.77.0.26:7002", call_timeout, |limiter| async move {
         let counter = ScriptedCounter::bind("127.77.0.26:7002").await;
@@ -298,8 +299,8 @@
     });
 }
 
-/// A malformed answer ends its connection at once: its call and the calls behind it are each reported once, and the
-/// next call goes to a new connection without a pause.
+/// A malformed answer ends its connection immediately. Its call and the calls after it are each reported once, and the
+/// next call is written to a new connection without a delay.
 #[test]
 fn malformed_answer_ends_the_connection_and_not_the_link() {
     let call_timeout = Duration::from_secs(1);
--- a/src/net/discovery/client.rs
+++ b/src/net/discovery/client.rs
@@ -1,6 +1,6 @@
-//! The state of the discovery client: the endpoint list in force, and the hosts in maintenance.
+//! The state of the discovery client: the current endpoint list, and the hosts in maintenance.
 
-use super::endpoint_list::{EndpointList, ListSource, ListVerdict};
+use super::endpoint_list::{EndpointList, ListComparison, ListSource};
 use super::received_list::{Endpoint, ListError, ReceivedList};
 use crate::api::{Event, ListMode, Nanos, ZoneId};
 use crate::net::config::{Addresses, Limits};
@@ -18,7 +18,7 @@
 #[cfg(test)]
 mod tests;
 
-/// Owns the endpoint list and the hosts in maintenance.
+/// The discovery client, which owns the endpoint list and the registry of hosts in maintenance.
 pub struct DiscoveryClient {
     limits: Rc<Limits>,
     engine: Rc<EngineDriver>,
@@ -27,14 +27,14 @@
     metrics: Option<SharedMetrics>,
     endpoints: RefCell<EndpointList>,
     maintenance: RefCell<MaintenanceRegistry>,
-    /// The names of all hosts ever listed are recorded, for another process of this limiter.
+    /// Whether the names of all hosts ever listed are recorded, for another process of this limiter.
     records_names: bool,
-    /// Notified when the watch is behind the list in force, and is to be opened again.
+    /// Notified when the watch is behind the current list and must be reopened.
     reopen_watch: Notify,
 }
 
 impl DiscoveryClient {
-    /// A client that has not called discovery yet.
+    /// Creates a client with an endpoint list and without metrics or hosts in maintenance.
     pub fn new(
         limits: &Rc<Limits>,
         engine: &Rc<EngineDriver>,
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Counts failed calls in the metrics.
+    /// Sets the metrics in which failed calls are counted; with `None` they are not counted.
     #[must_use]
     pub fn with_metrics(self, metrics: Option<SharedMetrics>) -> Self {
         DiscoveryClient { metrics, ..self }
@@ -70,114 +70,115 @@
         }
     }
 
-    /// Sizes, counts and times.
+    /// Returns the configured sizes, counts and durations.
     pub(super) fn limits(&self) -> &Limits {
         &self.limits
     }
 
-    /// A receiver that follows the addresses of the services.
+    /// Returns a receiver for changes of the services' addresses.
     pub(super) fn addresses(&self) -> watch::Receiver<Addresses> {
         self.addresses.clone()
     }
 
-    /// Discovery's address at this moment.
+    /// Returns the current address of discovery.
     pub(super) fn address(&self) -> SocketAddr {
         self.addresses.borrow().discovery
     }
 
-    /// Counts a failed call.
+    /// Counts a failed call in the metrics.
     pub(super) fn record_failure(&self) {
         if let Some(metrics) = &self.metrics {
             metrics.borrow_mut().record_list_failure();
         }
     }
 
-    /// Asks for the watch to be opened again.
+    /// Requests that the watch be reopened.
     pub(super) fn reopen_watch(&self) {
         self.reopen_watch.notify_one();
     }
 
-    /// Waits until the watch is to be opened again.
-    pub(super) async fn watch_reopening(&self) {
+    /// Waits until [`Self::reopen_watch`] is called.
+    pub(super) async fn reopen_requested(&self) {
         self.reopen_watch.notified().await;
     }
 
-    /// Parses a list. New names get indices.
+    /// Parses a list, and assigns ids and indices to new names.
     ///
     /// # Errors
-    /// The list is malformed; the error names the key.
+    /// Returns an error that names the key where the list is malformed.
     pub(super) fn parse(&self, list: &Value) -> Result<ReceivedList, ListError> {
         self.endpoints.borrow_mut().parse(list)
     }
 
-    /// The version of the list in force.
+    /// Returns the version of the current list.
     pub(super) fn version(&self) -> u64 {
         self.endpoints.borrow().version()
     }
 
-    /// How many lists were received from discovery.
+    /// Returns the number of lists applied from discovery.
     pub(super) fn lists_received(&self) -> u64 {
         self.endpoints.borrow().lists_received()
     }
 
-    /// Compares a list with the one in force, where it answers a call that was made when `lists_received` lists had been
-    /// received.
-    pub(super) fn compare(&self, list: &ReceivedList, lists_received: u64) -> ListVerdict {
+    /// Compares a received list with the current one. `lists_received` is the value of [`Self::lists_received`] when
+    /// the list was requested.
+    pub(super) fn compare(&self, list: &ReceivedList, lists_received: u64) -> ListComparison {
         self.endpoints.borrow_mut().compare(list, lists_received)
     }
 
-    /// The zone of this limiter that has the name of the zone `zone` of a configuration with the zone names `names`.
+    /// Translates `zone`, an index into the zone names `names` of a configuration, to this limiter's index of the same
+    /// name. Returns `zone` itself where `names` does not contain it.
     pub fn zone(&self, names: &[String], zone: ZoneId) -> ZoneId {
         self.endpoints.borrow_mut().zone(names, zone)
     }
 
-    /// The names of zones, by their indices.
+    /// Returns the names of zones, in the order of their indices.
     pub fn zone_names(&self) -> Vec<String> {
         self.endpoints.borrow().zones().to_vec()
     }
 
-    /// The list in force, in discovery's form.
+    /// Returns the current list as JSON, in the format of discovery.
     pub fn list_to_json(&self) -> Value {
         self.endpoints.borrow().to_json()
     }
 
-    /// Whether a host was listed at some time, or there is an order on its maintenance.
+    /// Returns whether a host is recorded as listed, or has a maintenance order.
     pub fn has_listed(&self, name: &str) -> bool {
         self.maintenance.borrow().contains(name)
     }
 
-    /// Puts a host into maintenance. [`Self::reapply_maintenance`] makes the change known.
+    /// Puts a host into maintenance. The change takes effect with [`Self::reapply_maintenance`].
     ///
     /// # Errors
-    /// The host was never listed.
+    /// Returns an error if the host was never listed.
     pub fn disable(&self, name: &str, now: Nanos) -> Result<MaintenanceChange, UnknownHost> {
         self.maintenance.borrow_mut().disable(name, now)
     }
 
-    /// Ends the maintenance of a host. [`Self::reapply_maintenance`] makes the change known.
+    /// Ends the maintenance of a host. The change takes effect with [`Self::reapply_maintenance`].
     ///
     /// # Errors
-    /// The host was never listed.
+    /// Returns an error if the host was never listed.
     pub fn enable(&self, name: &str, now: Nanos) -> Result<MaintenanceChange, UnknownHost> {
         self.maintenance.borrow_mut().enable(name, now)
     }
 
-    /// A number that grows with every change of the maintenance.
+    /// Returns a revision number that grows with every change of the maintenance state.
     pub fn maintenance_revision(&self) -> u64 {
         self.maintenance.borrow().revision()
     }
 
-    /// The latest order on the maintenance of each host.
+    /// Returns the latest maintenance order of each host, by name.
     pub fn maintenance_orders(&self) -> BTreeMap<String, MaintenanceOrder> {
         self.maintenance.borrow().orders().clone()
     }
 
-    /// The names of hosts listed so far, oldest first.
+    /// Returns the names of hosts listed so far, oldest first.
     pub fn listed_names(&self) -> Vec<String> {
         self.maintenance.borrow().listed_names().cloned().collect()
     }
 
-    /// Takes in another process's listed hosts and its orders on maintenance.
+    /// Merges the listed hosts and the maintenance orders of another process, and applies the orders that changed.
     pub fn merge_maintenance(
         &self,
         listed: &[String],
@@ -195,15 +196,15 @@
         }
     }
 
-    /// Whether a list was received from discovery since the start.
+    /// Returns whether a list was received from discovery since the start.
     pub fn has_answered(&self) -> bool {
         self.endpoints.borrow().has_received()
     }
 
-    /// Puts a list into force that was known before the start; `Null` stands for an empty one.
+    /// Applies a list that was known before the start; `Null` stands for an empty list.
     ///
     /// # Errors
-    /// The list is malformed.
+    /// Returns an error if the list is malformed.
     pub fn restore(&self, known: &Value) -> Result<(), ListError> {
         let list = match known {
             Value::Null => ReceivedList::empty(),
@@ -213,13 +214,13 @@
         Ok(())
     }
 
-    /// Puts a list of discovery into force.
+    /// Applies a list received from discovery.
     pub(super) fn apply(&self, list: &ReceivedList) {
         self.apply_from(list, ListSource::Discovery);
     }
 
-    /// Puts a list into force. Maintenance overrides the state that the list has for a host, here and in
-    /// [`Self::reapply_maintenance`] only.
+    /// Applies a list. Only this function and [`Self::reapply_maintenance`] override the listed state of a host by its
+    /// maintenance.
     fn apply_from(&self, list: &ReceivedList, source: ListSource) {
         self.endpoints.borrow_mut().apply(list, source);
         let mode = match source {
@@ -231,15 +232,15 @@
         let listed: Vec<_> = endpoints
             .map(|endpoint| self.apply_maintenance(endpoint))
             .collect();
-        self.announce(list.version, mode, listed);
+        self.publish(list.version, mode, listed);
         let upstream = &self.upstream;
         self.endpoints
             .borrow_mut()
             .retain_hosts(|host| upstream.contains_host(host));
     }
 
-    /// An endpoint with its maintenance applied: a host in maintenance is draining, in whichever state discovery lists
-    /// it.
+    /// Returns an endpoint with its maintenance applied: a host in maintenance is draining, whatever its listed state.
+    /// Also records its name where names are recorded.
     fn apply_maintenance(&self, endpoint: &Endpoint) -> Endpoint {
         let mut maintenance = self.maintenance.borrow_mut();
         if self.records_names {
@@ -251,8 +252,8 @@
         }
     }
 
-    /// Hands endpoints to the pool and to the engine.
-    fn announce(&self, version: u64, mode: ListMode, endpoints: Vec<Endpoint>) {
+    /// Passes endpoints on to the connection pool and to the decision engine.
+    fn publish(&self, version: u64, mode: ListMode, endpoints: Vec<Endpoint>) {
         for endpoint in &endpoints {
             self.upstream.update_host(&endpoint.entry, endpoint.address);
         }
@@ -271,7 +272,7 @@
         self.upstream.forget_gone_hosts(&self.limits);
     }
 
-    /// Hands a host to the pool and to the engine again, after its maintenance began or ended.
+    /// Passes a host on to the connection pool and to the decision engine again, after its maintenance began or ended.
     pub fn reapply_maintenance(&self, name: &str) {
         let (version, endpoint) = {
             let endpoints = self.endpoints.borrow();
@@ -279,7 +280,7 @@
         };
         if let Some(mut endpoint) = endpoint {
             endpoint.entry = self.maintenance.borrow().apply(name, &endpoint.entry);
-            self.announce(version, ListMode::Update, vec![endpoint]);
+            self.publish(version, ListMode::Update, vec![endpoint]);
         }
     }
 }
--- a/src/net/discovery/client/tests.rs
+++ b/src/net/discovery/client/tests.rs
@@ -1,4 +1,4 @@
-//! Access to the size of the list, for tests of the client.
+//! Access to the size of the endpoint list for the tests of the client.
 
 use super::*;
 use crate::net::discovery::endpoint_list::tests::HostCounts;
--- a/src/net/discovery/connection.rs
+++ b/src/net/discovery/connection.rs
@@ -1,4 +1,4 @@
-//! Requests to discovery and their responses, on one connection.
+//! A connection to discovery: requests for the endpoint list, and their responses.
 
 use super::http::{parse_response, Response, ResponseError};
 use super::received_list::ListError;
@@ -15,22 +15,22 @@
 const STATUS_OK: u16 = 200;
 const LIST_PATH: &str = "/discovery/hosts";
 
-/// Why a call to discovery failed.
+/// The reason why a call to discovery failed.
 #[derive(Debug, Error)]
 pub(super) enum DiscoveryError {
-    /// No connection was established in time.
+    /// No connection was established within the connect timeout.
     #[error("no connection in time")]
     ConnectTimeout,
     /// The connection failed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The response did not arrive in time.
+    /// The response was not complete within the timeout of the request.
     #[error("no response in time")]
     ResponseTimeout,
-    /// The response is malformed.
+    /// The response is not well-formed HTTP/1, or exceeds a limit.
     #[error(transparent)]
     Response(#[from] ResponseError),
-    /// The response has another status than 200.
+    /// The response has this status instead of 200.
     #[error("discovery responded with status {0}")]
     Status(u16),
     /// The body is not JSON.
@@ -39,21 +39,21 @@
     /// The list is malformed.
     #[error(transparent)]
     List(#[from] ListError),
-    /// The call for the full list was answered with old changes.
+    /// A request for the full list was answered with changes older than the current list.
     #[error("discovery answered a request for the full list with outdated changes")]
-    NoFullList,
+    OutdatedChanges,
 }
 
-/// A request for a list.
+/// A request for the full list or for changes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct ListRequest {
     path: String,
-    /// How long the response may take.
+    /// The time within which the complete response must arrive.
     timeout: Duration,
 }
 
 impl ListRequest {
-    /// The full list.
+    /// Returns a request for the full list.
     pub(super) fn full(timeout: Duration) -> Self {
         ListRequest {
             path: LIST_PATH.to_owned(),
@@ -61,7 +61,8 @@
         }
     }
 
-    /// The changes since a version; discovery waits for a change.
+    /// Returns a request for the changes since `version`. Discovery responds once there is a change, or after the watch
+    /// timeout.
     pub(super) fn changes_since(version: u64, limits: &Limits) -> Self {
         let wait_ms = limits.discovery.watch_timeout.as_millis();
         ListRequest {
@@ -71,11 +72,11 @@
     }
 }
 
-/// A list as received, not interpreted yet.
+/// A successful response, whose list is not parsed yet.
 pub(super) struct ListResponse {
-    /// The JSON value.
+    /// The list as JSON.
     pub list: Value,
-    /// The connection stays open for another request.
+    /// Whether the connection stays open for another request.
     pub keep_alive: bool,
 }
 
@@ -90,10 +91,10 @@
     /// Connects to discovery.
     ///
     /// # Errors
-    /// No connection was established.
+    /// Returns an error if the connection cannot be established.
     pub(super) async fn open(address: SocketAddr) -> Result<Self, DiscoveryError> {
         let stream = TcpStream::connect(address).await?;
-        // Without it requests are a little later; the connection works all the same.
+        // A failure is harmless: without `TCP_NODELAY` requests are only slightly delayed.
         let _ = stream.set_nodelay(true);
         Ok(DiscoveryConnection {
             stream,
@@ -102,10 +103,10 @@
         })
     }
 
-    /// Makes a request on a connection that stays open.
+    /// Sends a request and reads its response. The connection stays open.
     ///
     /// # Errors
-    /// The request fails, or its response is not a list.
+    /// Returns an error if the request fails, or if the response is not a list.
     pub(super) async fn get(
         &mut self,
         request: &ListRequest,
@@ -117,10 +118,10 @@
         self.exchange(&head, *timeout, limits).await
     }
 
-    /// Makes the only request of a connection.
+    /// Sends a request with `Connection: close` and reads its response.
     ///
     /// # Errors
-    /// The request fails, or its response is not a list.
+    /// Returns an error if the request fails, or if the response is not a list.
     pub(super) async fn get_and_close(
         mut self,
         request: &ListRequest,
--- a/src/net/discovery/endpoint_list.rs
+++ b/src/net/discovery/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list in force.
+//! The current endpoint list.
 
 use super::endpoint_names::EndpointNames;
 use super::received_list::{Endpoint, ListError, ReceivedList};
@@ -9,42 +9,44 @@
 #[cfg(test)]
 pub(super) mod tests;
 
-/// The source of a list.
+/// Where a list comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListSource {
-    /// Discovery returned it.
+    /// A response of discovery.
     Discovery,
-    /// The configuration or another process of this limiter knew it before the start.
+    /// Known before the start, from the configuration or from another process of this limiter.
     Restored,
 }
 
-/// How a received list relates to the list in force.
+/// How a received list compares with the current list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListVerdict {
-    /// It is put into force.
+pub enum ListComparison {
+    /// The received list replaces or updates the current one.
     Supersedes,
-    /// It is older, and changes nothing.
+    /// The received list is older, and is ignored.
     Older,
-    /// It has the same version, and changes nothing.
+    /// The received list has the same version, and is ignored.
     SameVersion,
 }
 
-/// The list in force, and the names of hosts, zones and machine kinds with their indices.
+/// The current list, and the ids of hosts and indices of zones and machine kinds by name.
 pub struct EndpointList {
     names: EndpointNames,
     version: u64,
-    /// Each host as listed last, by name.
+    /// The latest entry of each host, by name.
     endpoints: BTreeMap<String, Endpoint>,
-    /// A list was received from discovery.
+    /// Whether a list was received from discovery since the start.
     has_received: bool,
-    /// How many lists were received from discovery.
+    /// Number of lists applied from discovery.
     lists_received: u64,
-    /// The version of a full list that was older than the one in force, until another list is applied.
-    doubted_version: Option<u64>,
+    /// The version of the last full list that was not newer than the current one although it was requested after it;
+    /// `None` after a list was applied.
+    restart_candidate: Option<u64>,
 }
 
 impl EndpointList {
-    /// A list without hosts; `zones` and `machine_kinds` have their indices from the configuration.
+    /// Creates a list without hosts. `zones` and `machine_kinds` are the names from the configuration, in the order of
+    /// their indices.
     pub fn new(zones: Vec<String>, machine_kinds: Vec<String>) -> Self {
         EndpointList {
             names: EndpointNames::new(zones, machine_kinds),
@@ -52,57 +54,59 @@
             endpoints: BTreeMap::new(),
             has_received: false,
             lists_received: 0,
-            doubted_version: None,
+            restart_candidate: None,
         }
     }
 
-    /// The version of the list in force.
+    /// Returns the version of the current list.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Whether a list was received from discovery since the start.
+    /// Returns whether a list was received from discovery since the start.
     pub fn has_received(&self) -> bool {
         self.has_received
     }
 
-    /// How many lists were received from discovery.
+    /// Returns the number of lists applied from discovery.
     pub fn lists_received(&self) -> u64 {
         self.lists_received
     }
 
-    /// A host as listed last.
+    /// Returns the latest entry of a host; `None` where the host is unknown.
     pub fn endpoint(&self, name: &str) -> Option<&Endpoint> {
         self.endpoints.get(name)
     }
 
-    /// Compares a list with the one in force, where it answers a call that was made when `lists_received` lists had
-    /// been received.
+    /// Compares a received list with the current one. `lists_received` is the value of [`Self::lists_received`] when
+    /// the list was requested.
     ///
-    /// Answers can overtake each other, so the version decides. A version that goes back is believed where no list was
-    /// received since the call and two answers in a row go back: then discovery itself has started anew.
-    pub fn compare(&mut self, list: &ReceivedList, lists_received: u64) -> ListVerdict {
+    /// Responses can overtake each other, so the version decides. A full list with a lower version is accepted only
+    /// where no other list was applied since its request and the full list before it also had a lower version, no
+    /// higher than this one: discovery itself has restarted then.
+    pub fn compare(&mut self, list: &ReceivedList, lists_received: u64) -> ListComparison {
         if list.version > self.version || !self.has_received {
-            return ListVerdict::Supersedes;
+            return ListComparison::Supersedes;
         }
         if list.is_full && lists_received == self.lists_received {
-            let doubted = self.doubted_version.replace(list.version);
-            let goes_back_again = doubted.is_some_and(|doubted| list.version >= doubted);
-            if list.version == self.version || goes_back_again {
-                return ListVerdict::Supersedes;
+            let candidate = self.restart_candidate.replace(list.version);
+            let is_lower_again = candidate.is_some_and(|candidate| list.version >= candidate);
+            if list.version == self.version || is_lower_again {
+                return ListComparison::Supersedes;
             }
         }
         if list.version < self.version {
-            ListVerdict::Older
+            ListComparison::Older
         } else {
-            ListVerdict::SameVersion
+            ListComparison::SameVersion
         }
     }
 
-    /// Puts a list into force that was received from discovery, or that was known before the start.
+    /// Applies a list. A full list, and a list restored at the start, replaces all hosts; any other list updates the
+    /// hosts that it contains.
     pub fn apply(&mut self, list: &ReceivedList, source: ListSource) {
         self.version = list.version;
-        self.doubted_version = None;
+        self.restart_candidate = None;
         if source == ListSource::Discovery {
             self.has_received = true;
             self.lists_received += 1;
@@ -116,22 +120,23 @@
         }
     }
 
-    /// Forgets all hosts but these.
+    /// Removes all hosts for which `is_retained` returns `false`, and their names.
     pub fn retain_hosts(&mut self, is_retained: impl Fn(HostId) -> bool) {
         self.names.retain_hosts(&is_retained);
         self.endpoints
             .retain(|_, endpoint| is_retained(endpoint.entry.host));
     }
 
-    /// Parses a list. New names get indices.
+    /// Parses a list, and assigns ids and indices to new names.
     ///
     /// # Errors
-    /// The list is malformed; the error names the key.
+    /// Returns an error that names the key where the list is malformed.
     pub fn parse(&mut self, list: &Value) -> Result<ReceivedList, ListError> {
         ReceivedList::parse(list, &mut self.names)
     }
 
-    /// The zone of this list that has the name of the zone `zone` of a configuration with the zone names `names`.
+    /// Translates `zone`, an index into the zone names `names` of a configuration, to this list's index of the same
+    /// name. Returns `zone` itself where `names` does not contain it.
     pub fn zone(&mut self, names: &[String], zone: ZoneId) -> ZoneId {
         match names.get(zone.as_usize()) {
             Some(name) => self.names.zone_id(name),
@@ -139,12 +144,12 @@
         }
     }
 
-    /// The names of zones, by their indices.
+    /// Returns the names of zones, in the order of their indices.
     pub fn zones(&self) -> &[String] {
         self.names.zone_names()
     }
 
-    /// The list in force, in discovery's form.
+    /// Returns the current list as JSON, in the format of discovery.
     pub fn to_json(&self) -> Value {
         let instances: Vec<_> = self
             .endpoints
--- a/src/net/discovery/endpoint_list/tests.rs
+++ b/src/net/discovery/endpoint_list/tests.rs
@@ -1,15 +1,15 @@
-//! Access to the size of the list, for tests of the client.
+//! Access to the size of the endpoint list for the tests of the client.
 
 use super::*;
 
-/// How many hosts the list remembers.
+/// Numbers of hosts that the endpoint list holds in memory.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct HostCounts {
-    /// Names that have an id.
+    /// Host names with an id.
     pub(crate) names: usize,
-    /// Ids in use.
+    /// Host ids in use.
     pub(crate) ids: usize,
-    /// Hosts on the list.
+    /// Hosts on the current list.
     pub(crate) listed: usize,
 }
 
--- a/src/net/discovery/endpoint_names.rs
+++ b/src/net/discovery/endpoint_names.rs
@@ -1,4 +1,4 @@
-//! The indices that the decision engine knows hosts, zones and machine kinds by.
+//! The ids and indices by which the decision engine identifies hosts, zones and machine kinds.
 
 use crate::api::{HostId, ZoneId};
 use std::collections::{HashMap, HashSet};
@@ -10,7 +10,7 @@
 const FNV_OFFSET: u32 = 0x811c_9dc5;
 const FNV_PRIME: u32 = 0x0100_0193;
 
-/// The names of hosts, zones and machine kinds, and their indices.
+/// The ids of hosts and the indices of zones and machine kinds, by name.
 pub struct EndpointNames {
     zones: NameTable,
     machine_kinds: NameTable,
@@ -18,7 +18,8 @@
 }
 
 impl EndpointNames {
-    /// Names of zones and machine kinds that have their indices from the configuration. No host is known yet.
+    /// Creates a table without hosts. `zones` and `machine_kinds` are the names from the configuration, in the order of
+    /// their indices.
     pub fn new(zones: Vec<String>, machine_kinds: Vec<String>) -> Self {
         EndpointNames {
             zones: NameTable { names: zones },
@@ -29,43 +30,43 @@
         }
     }
 
-    /// The id of a host.
+    /// Returns the id of a host, and assigns one to a new name.
     pub fn host_id(&mut self, name: &str) -> HostId {
         self.hosts.id(name)
     }
 
-    /// The id of a zone; a new name gets the next one.
+    /// Returns the id of a zone, and assigns the next one to a new name.
     pub fn zone_id(&mut self, name: &str) -> ZoneId {
         ZoneId(self.zones.index(name))
     }
 
-    /// The index of a machine kind; a new name gets the next one.
+    /// Returns the index of a machine kind, and assigns the next one to a new name.
     pub fn machine_kind(&mut self, name: &str) -> u32 {
         self.machine_kinds.index(name)
     }
 
-    /// The name of a zone; empty where the zone is unknown.
+    /// Returns the name of a zone; empty where the zone is unknown.
     pub fn zone_name(&self, zone: ZoneId) -> &str {
         self.zones.name(zone.0)
     }
 
-    /// The name of a machine kind; empty where the kind is unknown.
+    /// Returns the name of a machine kind; empty where the kind is unknown.
     pub fn machine_kind_name(&self, kind: u32) -> &str {
         self.machine_kinds.name(kind)
     }
 
-    /// The names of zones, by their indices.
+    /// Returns the names of zones, in the order of their indices.
     pub fn zone_names(&self) -> &[String] {
         &self.zones.names
     }
 
-    /// Forgets the names of all hosts but these.
+    /// Removes the names and ids of all hosts for which `is_retained` returns `false`.
     pub fn retain_hosts(&mut self, is_retained: impl Fn(HostId) -> bool) {
         self.hosts.retain(is_retained);
     }
 }
 
-/// Names that have an index in the order in which they were first met.
+/// Names whose index is their position, in the order in which they were added.
 struct NameTable {
     names: Vec<String>,
 }
@@ -85,7 +86,7 @@
     }
 }
 
-/// The ids of hosts: hashes of their names, the same at every limiter and after a restart.
+/// The ids of hosts: hashes of their names, so that they are the same at every limiter and after a restart.
 #[derive(Default)]
 struct HostIds {
     ids: HashMap<String, HostId>,
@@ -93,7 +94,8 @@
 }
 
 impl HostIds {
-    /// The id of a host. Where two names share a hash, the later one gets the next id that is free.
+    /// Returns the id of a host, and assigns one to a new name. On a hash collision the later name gets the next free
+    /// id.
     fn id(&mut self, name: &str) -> HostId {
         if let Some(id) = self.ids.get(name) {
             return *id;
--- a/src/net/discovery/endpoint_names/tests.rs
+++ b/src/net/discovery/endpoint_names/tests.rs
@@ -1,4 +1,4 @@
-//! Ids of hosts.
+//! Tests of host ids.
 
 use super::*;
 
@@ -12,7 +12,7 @@
     }
 }
 
-/// A name has the same id at every limiter, and two names never share one.
+/// A name has the same id at every limiter, and two names never share an id.
 #[test]
 fn host_ids_are_stable_and_unique() {
     let mut one = HostIds::default();
--- a/src/net/discovery/http.rs
+++ b/src/net/discovery/http.rs
@@ -1,10 +1,10 @@
-//! HTTP/1.1 responses of discovery, parsed from the bytes received so far.
+//! Incremental parser of HTTP/1.1 responses from discovery.
 
 use thiserror::Error;
 
-/// The longest head of a response, in bytes.
+/// Maximum length of an incomplete header section, in bytes.
 const MAX_HEAD_BYTES: usize = 16 << 10;
-/// The longest line that announces a chunk, in bytes.
+/// Maximum length of an incomplete chunk-size line, in bytes.
 const MAX_CHUNK_LINE_BYTES: usize = 64;
 const HEAD_END: &[u8] = b"\r\n\r\n";
 const LINE_END: &[u8] = b"\r\n";
@@ -12,57 +12,58 @@
 /// A complete response.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Response {
-    /// The status code.
+    /// The HTTP status code.
     pub status: u16,
-    /// The body.
+    /// The body, without the chunked transfer coding.
     pub body: Vec<u8>,
-    /// Bytes that the response takes up in the buffer.
+    /// Length of the whole response in the input, in bytes.
     pub length: usize,
-    /// The connection stays open for another request.
+    /// Whether the connection stays open for another request.
     pub keep_alive: bool,
 }
 
-/// Why bytes are no response.
+/// The reason why bytes are not a valid response.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum ResponseError {
-    /// The head is longer than allowed.
+    /// The header section has no end within its maximum length.
     #[error("response from discovery: header section exceeds 16 KiB")]
-    EndlessHead,
-    /// The head is not UTF-8.
+    HeadTooLong,
+    /// The header section is not UTF-8.
     #[error("response from discovery: header section is not UTF-8")]
-    HeadNotText,
-    /// The status line is not that of HTTP/1.
+    HeadNotUtf8,
+    /// The first line is not a status line of HTTP/1.
     #[error("response from discovery: not an HTTP/1.x status line")]
     NotHttp,
-    /// The body has neither a length nor chunks.
+    /// The body is not chunked, and has no valid `Content-Length`.
     #[error("response from discovery: no valid Content-Length and not chunked")]
-    NoLength,
-    /// The body is longer than allowed.
+    MissingLength,
+    /// The body exceeds its maximum length.
     #[error("response from discovery: body is too long")]
-    TooLong,
-    /// The line before a chunk contains no length.
+    BodyTooLong,
+    /// The chunk-size line contains no hexadecimal length, or exceeds its maximum length.
     #[error("response from discovery: chunk size is missing or malformed")]
-    ChunkWithoutLength,
-    /// A chunk is not followed by the end of a line.
+    InvalidChunkSize,
+    /// The data of a chunk is not followed by CRLF.
     #[error("response from discovery: chunk is not followed by CRLF")]
-    ChunkOverrun,
+    MissingChunkEnd,
 }
 
-/// The head of a response.
+/// The status line and the relevant header fields of a response.
 struct Head {
     status: u16,
     content_length: Option<usize>,
     is_chunked: bool,
     keep_alive: bool,
-    /// Where the body starts.
+    /// Offset of the body in the input, in bytes.
     body_start: usize,
 }
 
-/// Parses the response at the start of `bytes`; `None` where it is incomplete. Bodies have a length or are chunked, and
-/// are `max_body_bytes` long at most.
+/// Parses the response at the start of `bytes`. Returns `None` where it is incomplete.
+///
+/// The body must have a `Content-Length` or be chunked, and must not exceed `max_body_bytes`.
 ///
 /// # Errors
-/// The bytes are no HTTP/1 response, or exceed a limit.
+/// Returns an error if the bytes are not an HTTP/1 response, or if they exceed a limit.
 pub fn parse_response(
     bytes: &[u8],
     max_body_bytes: usize,
@@ -86,12 +87,12 @@
 fn parse_head(bytes: &[u8]) -> Result<Option<Head>, ResponseError> {
     let Some(head_end) = find(bytes, HEAD_END) else {
         return if bytes.len() > MAX_HEAD_BYTES {
-            Err(ResponseError::EndlessHead)
+            Err(ResponseError::HeadTooLong)
         } else {
             Ok(None)
         };
     };
-    let text = std::str::from_utf8(&bytes[..head_end]).map_err(|_| ResponseError::HeadNotText)?;
+    let text = std::str::from_utf8(&bytes[..head_end]).map_err(|_| ResponseError::HeadNotUtf8)?;
     let mut lines = text.split("\r\n");
     let mut head = Head {
         status: lines
@@ -120,15 +121,16 @@
     }
 }
 
-/// The status code of `HTTP/1.1 200 OK`.
+/// Returns the status code of a status line such as `HTTP/1.1 200 OK`; `None` where it is malformed.
 fn parse_status(line: &str) -> Option<u16> {
     let remaining = line.strip_prefix("HTTP/1.")?;
     remaining.get(2..5)?.parse().ok()
 }
 
-/// A complete body, and where it ends.
+/// A complete body.
 struct Body {
     bytes: Vec<u8>,
+    /// Offset of the end of the response in the input, in bytes.
     end: usize,
 }
 
@@ -137,9 +139,9 @@
     head: &Head,
     max_body_bytes: usize,
 ) -> Result<Option<Body>, ResponseError> {
-    let length = head.content_length.ok_or(ResponseError::NoLength)?;
+    let length = head.content_length.ok_or(ResponseError::MissingLength)?;
     if length > max_body_bytes {
-        return Err(ResponseError::TooLong);
+        return Err(ResponseError::BodyTooLong);
     }
     if bytes.len() - head.body_start < length {
         return Ok(None);
@@ -163,7 +165,7 @@
             return Ok(None);
         };
         if chunk.size > max_body_bytes || body.len() + chunk.size > max_body_bytes {
-            return Err(ResponseError::TooLong);
+            return Err(ResponseError::BodyTooLong);
         }
         let chunk_start = position + chunk.line_length;
         let chunk_end = chunk_start + chunk.size;
@@ -173,7 +175,7 @@
         }
         body.extend_from_slice(&bytes[chunk_start..chunk_end]);
         if &bytes[chunk_end..next] != LINE_END {
-            return Err(ResponseError::ChunkOverrun);
+            return Err(ResponseError::MissingChunkEnd);
         }
         position = next;
         if chunk.size == 0 {
@@ -185,25 +187,25 @@
     }
 }
 
-/// The line that announces a chunk.
+/// The line that precedes the data of a chunk.
 struct ChunkLine {
-    /// Length of the line with its end, in bytes.
+    /// Length of the line including CRLF, in bytes.
     line_length: usize,
-    /// Length of the chunk, in bytes.
+    /// Length of the chunk's data, in bytes; zero for the last chunk.
     size: usize,
 }
 
 fn parse_chunk_line(bytes: &[u8]) -> Result<Option<ChunkLine>, ResponseError> {
     let Some(end) = find(bytes, LINE_END) else {
         return if bytes.len() > MAX_CHUNK_LINE_BYTES {
-            Err(ResponseError::ChunkWithoutLength)
+            Err(ResponseError::InvalidChunkSize)
         } else {
             Ok(None)
         };
     };
     let text = std::str::from_utf8(&bytes[..end]).unwrap_or_default();
     let digits = text.split(';').next().unwrap_or_default().trim();
-    let size = usize::from_str_radix(digits, 16).map_err(|_| ResponseError::ChunkWithoutLength)?;
+    let size = usize::from_str_radix(digits, 16).map_err(|_| ResponseError::InvalidChunkSize)?;
     Ok(Some(ChunkLine {
         line_length: end + LINE_END.len(),
         size,
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -1,5 +1,5 @@
-//! The client of the discovery service: follows the endpoint list without a gap, and passes each change on to the
-//! decision engine and to the connections to hosts.
+//! Client of the discovery service: follows the endpoint list without missing a change, and passes each change on to
+//! the decision engine and to the pool of connections to hosts.
 
 pub mod backoff;
 mod client;
--- a/src/net/discovery/race_tests.rs
+++ b/src/net/discovery/race_tests.rs
@@ -1,5 +1,5 @@
-//! Races between the answers of discovery, and the time within which a change is known: a scripted discovery on real
-//! sockets.
+//! Tests of races between responses of discovery, and of the time within which a change is received. They run a
+//! scripted discovery on real sockets.
 
 use super::{check, follow, Backoff};
 use crate::api::{Event, HostState};
@@ -14,13 +14,13 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{timeout, Instant};
 
-/// A change counts as known to all limiters after this time.
+/// The time after which a change counts as known to all limiters.
 const NOTIFIED_WITHIN: Duration = Duration::from_secs(6);
 
-/// The address of discovery in the example's configuration.
+/// The address of discovery in the example configuration.
 const EXAMPLE_ADDRESS: &str = "127.0.0.1:7001";
 
-/// How the limiter learns of changes.
+/// The way in which the limiter receives changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Mode {
     Pushed,
@@ -36,7 +36,7 @@
     }
 }
 
-/// Runs a test with a limiter that follows a scripted discovery.
+/// Runs a test with a limiter that follows a scripted discovery at `address`.
 fn with_discovery<F: Future<Output = ()>>(
     address: &'static str,
     mode: Mode,
@@ -60,13 +60,13 @@
     });
 }
 
-/// A discovery that answers as the test says.
+/// A discovery server whose responses are determined by the test.
 struct ScriptedDiscovery {
     listener: TcpListener,
 }
 
 impl ScriptedDiscovery {
-    /// The next request on a connection of its own.
+    /// Accepts connections until one carries a request, and returns that request.
     async fn accept(&self) -> PendingRequest {
         loop {
             let (stream, _) = self.listener.accept().await.expect("the limiter connects");
@@ -77,13 +77,13 @@
     }
 }
 
-/// A request of the limiter that is not answered yet.
+/// A request from the limiter that has not been answered yet.
 struct PendingRequest {
     stream: TcpStream,
     path: String,
 }
 
-/// The next request on a connection; `None` where the limiter has closed it.
+/// Reads the next request on a connection; `None` where the limiter has closed it.
 async fn next_request(mut stream: TcpStream) -> Option<PendingRequest> {
     let mut text = Vec::new();
     while !text.ends_with(b"\r\n\r\n") {
@@ -97,7 +97,7 @@
     })
 }
 
-/// An answer with one host.
+/// A list with one host, to be sent as a response.
 struct ListAnswer {
     version: u64,
     is_full: bool,
@@ -125,7 +125,7 @@
         self.path.contains("index=")
     }
 
-    /// Answers the request; returns the connection.
+    /// Answers the request and returns the connection.
     async fn answer(mut self, answer: ListAnswer) -> TcpStream {
         let ListAnswer {
             version,
@@ -150,14 +150,14 @@
     }
 }
 
-/// A list that was handed to the engine: its version, and the state of its first host.
+/// A list that was passed to the engine: its version, and the state of its first host.
 #[derive(Debug, PartialEq, Eq)]
 struct AppliedList {
     version: u64,
     state: HostState,
 }
 
-/// The next list that the engine would handle.
+/// Returns the next list queued for the engine.
 async fn next_list(limiter: &Rc<Limiter>) -> AppliedList {
     match next(limiter).await {
         Event::Hosts {
@@ -181,9 +181,9 @@
     parse(&text, |_| None).expect("sound").limits
 }
 
-/// After any number of failures and in a fleet of any size, the next call, its connection and its answer fit into the
-/// 6 s after which a change counts as known; and an idle watch is followed by another, with its answer, within 2 s of
-/// the end of its wait.
+/// After any number of failures and in a fleet of any size, the longest delay, the connection and the response together
+/// take less than the 6 s after which a change counts as known. An idle watch is followed by another one, with its
+/// response, within 2 s of the end of its wait.
 #[test]
 fn longest_backoff_fits_into_the_notification_time() {
     for (limiters, mode) in [
@@ -198,8 +198,8 @@
         let discovery = &limits.discovery;
         assert_eq!(discovery.is_polled, mode == Mode::Polled);
         let mut backoff = Backoff::from_limits(&limits, 7);
-        let pauses = (0..1_000).map(|_| backoff.after_failure());
-        let longest = pauses.max().unwrap_or_default();
+        let delays = (0..1_000).map(|_| backoff.next_delay());
+        let longest = delays.max().unwrap_or_default();
         assert!(
             longest > Duration::from_secs(2),
             "the pause reaches its widest bound"
@@ -215,7 +215,7 @@
                 let check = discovery.full_list_interval + discovery.full_list_timeout;
                 assert!(check < NOTIFIED_WITHIN);
             }
-            // Only the watch finds changes there. In a small fleet its own end is early enough.
+            // Only the watch finds changes when discovery is polled. In a small fleet its wait ends early enough.
             Mode::Polled => {
                 assert!(limiters > 3 || discovery.watch_timeout + call < NOTIFIED_WITHIN);
             }
@@ -223,7 +223,8 @@
     }
 }
 
-/// Pushed: a watch stays silent on an open connection; the check finds the change, and the watch is opened again.
+/// With pushed changes, a watch stays silent on an open connection: the check finds the change, and the watch is
+/// reopened.
 #[test]
 fn silent_watch_is_reopened_once_the_check_finds_a_change() {
     let address = "127.77.0.40:7001";
@@ -242,7 +243,7 @@
         );
         assert_eq!(next_list(&limiter).await, applied(5, HostState::Draining));
         assert!(changed.elapsed() < NOTIFIED_WITHIN);
-        // The next connections are a check or the new watch, in either order; only the watch stays open.
+        // The next connections are checks or the new watch, in either order. Only the watch stays open.
         let reopened = loop {
             let request = discovery.accept().await;
             let stream = request.answer(full_list(5, "DRAINING")).await;
@@ -259,8 +260,8 @@
     });
 }
 
-/// Polled: a watch stays silent on an open connection; at the end of its wait it is opened again without a pause, for
-/// the changes since the list in force.
+/// With polled changes, a watch stays silent on an open connection: at the end of its wait it is reopened without a
+/// delay, and requests the changes since the current list.
 #[test]
 fn silent_polled_watch_is_reopened_at_the_end_of_its_wait() {
     let address = "127.77.0.41:7001";
@@ -284,8 +285,8 @@
     });
 }
 
-/// A check of the full list is answered late, after the watch brought a newer list: it changes nothing. Once the
-/// version goes back in two answers in a row, discovery has restarted, and its list is applied.
+/// A check that is answered only after the watch received a newer list changes nothing. Two consecutive full lists with
+/// a lower version mean that discovery has restarted, and the second one is applied.
 #[test]
 fn late_answer_changes_nothing_and_a_restart_of_discovery_is_recognized() {
     let address = "127.77.0.42:7001";
@@ -297,7 +298,7 @@
         assert!(!late_check.is_watch());
         let watch = watch.answer_and_wait(changes(6, "DRAINING")).await;
         assert_eq!(next_list(&limiter).await, applied(6, HostState::Draining));
-        // The check was sent before the newer list: its answer does not show the current list.
+        // The check was sent before the newer list arrived, so its response may be outdated.
         drop(late_check.answer(full_list(2, "SERVING")).await);
         for version in [2, 6, 2] {
             let check = discovery.accept().await;
@@ -314,9 +315,9 @@
     });
 }
 
-/// Changes that are older than the list in force change nothing; the full list is requested.
+/// Changes that are older than the current list are ignored, and the full list is requested.
 #[test]
-fn changes_older_than_the_list_in_force_are_ignored() {
+fn changes_older_than_the_current_list_are_ignored() {
     let address = "127.77.0.43:7001";
     with_discovery(address, Mode::Polled, |limiter, discovery| async move {
         let first = discovery.accept().await;
@@ -330,10 +331,10 @@
     });
 }
 
-/// A discovery that answers the request for the full list with old changes is called again on another connection after
-/// a pause, and not in a loop on this one.
+/// When discovery answers a request for the full list with outdated changes, the limiter calls it again on a new
+/// connection after a delay, and does not loop on this connection.
 #[test]
-fn old_changes_in_answer_to_the_full_list_end_the_connection() {
+fn outdated_changes_for_a_full_list_request_end_the_connection() {
     let address = "127.77.0.44:7001";
     with_discovery(address, Mode::Polled, |limiter, discovery| async move {
         let first = discovery.accept().await;
--- a/src/net/discovery/received_list.rs
+++ b/src/net/discovery/received_list.rs
@@ -1,4 +1,4 @@
-//! A list as discovery returns it, in JSON.
+//! The endpoint list in the JSON format of discovery.
 
 use super::endpoint_names::EndpointNames;
 use crate::api::{CellId, HostEntry, HostState};
@@ -11,30 +11,30 @@
 
 const NANOS_PER_MS: u64 = 1_000_000;
 
-/// One host as discovery lists it.
+/// A host as listed by discovery.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
-    /// Discovery's name of the host.
+    /// The name of the host (`instanceId`).
     pub name: String,
-    /// The host as the decision engine gets it.
+    /// The host in the form that the decision engine uses.
     pub entry: HostEntry,
-    /// Where the host listens.
+    /// The address on which the host listens.
     pub address: SocketAddr,
 }
 
-/// A list as discovery returned it.
+/// A list as received from discovery.
 #[derive(Debug)]
 pub struct ReceivedList {
-    /// Discovery's generation of the list.
+    /// The version that discovery assigns to the list (`generation`).
     pub version: u64,
-    /// The list contains all hosts; otherwise only the hosts that changed.
+    /// Whether the list contains all hosts (`reset`), or only those that changed.
     pub is_full: bool,
-    /// The hosts.
+    /// The listed hosts (`instances`).
     pub endpoints: Vec<Endpoint>,
 }
 
 impl ReceivedList {
-    /// A full list without hosts.
+    /// Returns a full list of version 0 without hosts.
     pub fn empty() -> Self {
         ReceivedList {
             version: 0,
@@ -43,10 +43,10 @@
         }
     }
 
-    /// Parses a list. New names get indices.
+    /// Parses a list, and assigns ids and indices to new names.
     ///
     /// # Errors
-    /// The list is malformed; the error names the key.
+    /// Returns an error that names the key where the list is malformed.
     pub fn parse(list: &Value, names: &mut EndpointNames) -> Result<ReceivedList, ListError> {
         let version = list.get("generation").and_then(Value::as_u64);
         let is_full = list.get("reset").and_then(Value::as_bool);
@@ -68,37 +68,37 @@
 
 impl Endpoint {
     fn parse(host: &Value, names: &mut EndpointNames) -> Result<Endpoint, ListError> {
-        let address = text(host, "hostPort")?
+        let address = string_field(host, "hostPort")?
             .parse()
             .map_err(|_| ListError::Address {
                 host: host.to_string(),
             })?;
-        let state = match text(host, "lifecycle")? {
+        let state = match string_field(host, "lifecycle")? {
             "SERVING" => HostState::Ready,
             "DELETED" => HostState::Gone,
-            // A state that discovery may add one day is not serving.
+            // Includes states that this version does not know: such a host must not get requests.
             _ => HostState::Draining,
         };
-        let name = text(host, "instanceId")?;
+        let name = string_field(host, "instanceId")?;
         let id = names.host_id(name);
-        let zone = names.zone_id(text(host, "zone")?);
-        let kind = names.machine_kind(text(host, "machineType")?);
+        let zone = names.zone_id(string_field(host, "zone")?);
+        let kind = names.machine_kind(string_field(host, "machineType")?);
         Ok(Endpoint {
             name: name.to_owned(),
             entry: HostEntry {
                 host: id,
                 state,
-                cell: CellId(number(host, "cell") as u32),
+                cell: CellId(integer_field(host, "cell") as u32),
                 zone,
                 kind,
-                started: number(host, "startedAtMs").saturating_mul(NANOS_PER_MS),
+                started: integer_field(host, "startedAtMs").saturating_mul(NANOS_PER_MS),
                 weight: host.get("weight").and_then(Value::as_f64).unwrap_or(0.0),
             },
             address,
         })
     }
 
-    /// The endpoint in discovery's form.
+    /// Returns the endpoint as JSON, in the format of discovery.
     pub fn to_json(&self, names: &EndpointNames) -> Value {
         let entry = &self.entry;
         let state = match entry.state {
@@ -119,27 +119,27 @@
     }
 }
 
-/// Why a list is malformed.
+/// The reason why a list is malformed.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum ListError {
-    /// `generation` is missing or no number.
+    /// `generation` is missing or not an unsigned integer.
     #[error("generation: not a number")]
     Generation,
-    /// `reset` is missing or no boolean.
+    /// `reset` is missing or not a boolean.
     #[error("reset: neither true nor false")]
     Reset,
-    /// `instances` is missing or no list.
+    /// `instances` is missing or not an array.
     #[error("instances: not a list")]
     Instances,
-    /// A key of a host is missing or no text.
+    /// A key of a host is missing or not a string.
     #[error("instances: {key} is missing or not a string in {host}")]
-    MissingText {
-        /// The key.
+    MissingString {
+        /// The name of the key.
         key: &'static str,
         /// The host, as JSON.
         host: String,
     },
-    /// The address of a host is malformed.
+    /// `hostPort` of a host is not an IP address with a port.
     #[error("instances: hostPort is not a socket address in {host}")]
     Address {
         /// The host, as JSON.
@@ -147,15 +147,15 @@
     },
 }
 
-fn text<'a>(host: &'a Value, key: &'static str) -> Result<&'a str, ListError> {
-    let text = host.get(key).and_then(Value::as_str);
-    text.ok_or_else(|| ListError::MissingText {
+fn string_field<'a>(host: &'a Value, key: &'static str) -> Result<&'a str, ListError> {
+    let value = host.get(key).and_then(Value::as_str);
+    value.ok_or_else(|| ListError::MissingString {
         key,
         host: host.to_string(),
     })
 }
 
-/// A whole number of a host; zero where it is missing.
-fn number(host: &Value, key: &str) -> u64 {
+/// Returns an integer of a host; zero where `key` is missing or not an unsigned integer.
+fn integer_field(host: &Value, key: &str) -> u64 {
     host.get(key).and_then(Value::as_u64).unwrap_or(0)
 }
--- a/src/net/discovery/received_list/tests.rs
+++ b/src/net/discovery/received_list/tests.rs
@@ -1,10 +1,10 @@
-//! Lists that are sound or malformed.
+//! Tests of well-formed and malformed lists.
 
 use super::*;
 use crate::api::ZoneId;
 
 #[test]
-fn list_is_parsed_and_the_malformed_key_named() {
+fn list_is_parsed_and_errors_name_the_malformed_key() {
     let mut names = EndpointNames::new(vec!["a".into()], vec!["m1".into()]);
     let text = r#"{"generation":4,"reset":false,"instances":[{"instanceId":"s-1","hostPort":"127.0.0.1:5",
         "zone":"b","machineType":"m1","cell":3,"lifecycle":"DRAINING","weight":1.5,"startedAtMs":1700000000000}]}"#;
--- a/src/net/discovery/tests.rs
+++ b/src/net/discovery/tests.rs
@@ -1,4 +1,4 @@
-//! Lists that are applied, maintenance that overrides them, and a watch that is lost.
+//! Tests of applied lists, of maintenance that overrides them, and of a lost watch.
 
 use super::endpoint_list::tests::HostCounts;
 use super::*;
@@ -13,7 +13,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::sleep;
 
-/// A list of one host, in discovery's form.
+/// Returns a list of one host, in the format of discovery.
 fn list_text(version: u64, is_full: bool, name: &str, state: &str) -> String {
     format!(
         r#"{{"generation":{version},"reset":{is_full},"instances":[{{"instanceId":"{name}","zone":"a",
@@ -29,12 +29,12 @@
     client.apply(&list.expect("a list"));
 }
 
-/// Applies a full list of one host that serves.
+/// Applies a full list of one serving host.
 pub(crate) fn apply_serving_host(client: &DiscoveryClient, name: &str) {
     apply_list(client, 1, true, name, "SERVING");
 }
 
-/// Accepts a request for the full list and answers it.
+/// Accepts a connection, expects a request for the full list on it, and answers it.
 async fn answer_full_list(discovery: &TcpListener, version: u64, state: &str) -> TcpStream {
     let (mut stream, _) = discovery.accept().await.expect("the limiter connects");
     let mut request = vec![0; 512];
@@ -51,7 +51,7 @@
     stream
 }
 
-/// The version of the next full list that the engine would handle, and the state of its first host.
+/// Returns the version of the next full list queued for the engine, and the state of its first host.
 async fn next_full_list(limiter: &Rc<Limiter>) -> (u64, HostState) {
     match next(limiter).await {
         Event::Hosts {
@@ -63,8 +63,8 @@
     }
 }
 
-/// The answer to a watch is lost: the next check of the full list finds the change, and a list that is no newer than
-/// the one in force changes nothing.
+/// When the response to a watch is lost, the next check of the full list finds the change. A list that is not newer
+/// than the current one changes nothing.
 #[test]
 fn changes_missed_by_a_lost_watch_are_found_by_the_check() {
     let changes = [("127.0.0.1:7001", "127.77.0.24:7001")];
@@ -74,7 +74,7 @@
         let backoff = Backoff::from_limits(limiter.limits(), 1);
         spawn(follow(limiter.discovery().clone(), backoff));
         spawn(check(limiter.discovery().clone()));
-        // The first list, two that are no newer, and a newer one; the watch is never answered.
+        // The first list, two lists that are not newer, and a newer one. The watch is never answered.
         let answers = [
             (4, "SERVING"),
             (4, "DRAINING"),
@@ -90,8 +90,8 @@
     });
 }
 
-/// Two hundred times into maintenance and back, while discovery lists the opposite: the host is draining for the engine
-/// at once and for as long as the maintenance lasts, on changes and full lists alike, and ready at the order to enable.
+/// Maintenance overrides the listed state of a host, with changes and full lists alike: the engine sees the host as
+/// draining immediately after the order to disable it and until the order to enable it. Repeats this 200 times.
 #[test]
 fn maintenance_overrides_discovery() {
     with_limiter(&[], |limiter| async move {
@@ -123,7 +123,8 @@
     });
 }
 
-/// After any number of replaced hosts, only those that are listed or have left just now are remembered.
+/// The names of hosts that have left the list are removed after the drain grace, so that replaced hosts do not
+/// accumulate.
 #[test]
 fn names_of_gone_hosts_are_forgotten() {
     with_limiter(&[], |limiter| async move {
--- a/src/net/discovery/watch.rs
+++ b/src/net/discovery/watch.rs
@@ -1,56 +1,57 @@
-//! Following discovery: a watch that is opened again whenever it ends, and a check of the full list beside it.
+//! Tasks that follow discovery: a watch that is reopened whenever it ends, and a periodic check of the full list.
 
 use super::backoff::Backoff;
 use super::client::DiscoveryClient;
 use super::connection::{DiscoveryConnection, DiscoveryError, ListRequest};
-use super::endpoint_list::ListVerdict;
+use super::endpoint_list::ListComparison;
 use super::received_list::ReceivedList;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::time::{sleep, timeout, Instant};
 
-/// Follows discovery for good. Each request is sent as soon as the response before it has arrived; after a failure, and
-/// at a new address, the watch is opened again.
+/// Follows discovery and never returns. Each request is sent as soon as the previous response has arrived; the watch is
+/// reopened after a failure and when the address of discovery changes.
 pub async fn follow(client: Rc<DiscoveryClient>, mut backoff: Backoff) {
     let mut addresses = client.addresses();
     if client.limits().discovery.is_polled {
-        sleep(backoff.first()).await;
+        sleep(backoff.initial_delay()).await;
     }
     loop {
         let address = addresses.borrow_and_update().discovery;
-        // A watch must not go on at an address that discovery has left, nor stay silent while there are changes.
+        // Abandons a watch at an old address of discovery, and a silent watch that the check found to be behind.
         tokio::select! {
             () = watch_once(&client, address, &mut backoff) => {}
             _ = addresses.changed() => {}
-            () = client.watch_reopening() => {}
+            () = client.reopen_requested() => {}
         }
     }
 }
 
-/// Opens a watch, follows it to its end, and pauses where the next one must not be opened at once.
+/// Opens a watch, follows it until it ends, and waits unless the next one may be opened immediately.
 async fn watch_once(client: &DiscoveryClient, address: SocketAddr, backoff: &mut Backoff) {
     if let Err(failure) = watch(client, address, backoff).await {
         tracing::warn!(error = %failure.error, "discovery watch failed");
         client.record_failure();
-        if failure.reopen_at_once {
+        if failure.reopen_immediately {
             return;
         }
     }
-    sleep(backoff.after_failure()).await;
+    sleep(backoff.next_delay()).await;
 }
 
-/// Why a watch ended.
+/// The reason why a watch ended.
 struct WatchFailure {
     error: DiscoveryError,
-    /// The watch had been answered for a while: only its connection is known to be at fault.
-    reopen_at_once: bool,
+    /// Whether the watch may be reopened without a delay: discovery had been answering for a while, so only the
+    /// connection is known to have failed.
+    reopen_immediately: bool,
 }
 
 impl<E: Into<DiscoveryError>> From<E> for WatchFailure {
     fn from(error: E) -> Self {
         WatchFailure {
             error: error.into(),
-            reopen_at_once: false,
+            reopen_immediately: false,
         }
     }
 }
@@ -73,18 +74,18 @@
     loop {
         let lists_received = client.lists_received();
         let response = connection.get(&request, limits).await.map_err(|error| {
-            // A connection that is lost right after its first answer is not opened again without a pause.
-            let reopen_at_once = has_answered
+            // A connection lost soon after it was opened is reopened after a delay, even if it was answered.
+            let reopen_immediately = has_answered
                 && opened_at.elapsed() >= limits.discovery.full_list_interval
-                && error.is_of_connection();
+                && error.is_connection_error();
             WatchFailure {
                 error,
-                reopen_at_once,
+                reopen_immediately,
             }
         })?;
         let list = client.parse(&response.list)?;
-        request = process(client, &list, lists_received, &request)?;
-        backoff.answered();
+        request = process_list(client, &list, lists_received, &request)?;
+        backoff.reset();
         has_answered = true;
         if !response.keep_alive {
             return Ok(());
@@ -93,17 +94,17 @@
 }
 
 impl DiscoveryError {
-    /// Whether the connection or its response is at fault, and not the list in a sound response.
-    fn is_of_connection(&self) -> bool {
+    /// Returns whether the connection or the HTTP response caused the error, and not the list in a valid response.
+    fn is_connection_error(&self) -> bool {
         !matches!(
             self,
-            DiscoveryError::Json(_) | DiscoveryError::List(_) | DiscoveryError::NoFullList
+            DiscoveryError::Json(_) | DiscoveryError::List(_) | DiscoveryError::OutdatedChanges
         )
     }
 }
 
-/// Where discovery is polled, the full list is expensive, and refused to everybody while many ask: the watch begins
-/// with the changes since the list in force.
+/// Returns the first request of a watch: the full list, or the changes since the current list where discovery is
+/// polled. There the full list is expensive, and discovery refuses it to all limiters while many request it.
 fn first_request(client: &DiscoveryClient) -> ListRequest {
     let limits = client.limits();
     if limits.discovery.is_polled {
@@ -113,24 +114,24 @@
     }
 }
 
-/// Handles a list that answers `request`; the request that follows it.
-fn process(
+/// Handles a list received in response to `request`, and returns the next request.
+fn process_list(
     client: &DiscoveryClient,
     list: &ReceivedList,
     lists_received: u64,
     request: &ListRequest,
 ) -> Result<ListRequest, DiscoveryError> {
     let limits = client.limits();
-    let verdict = client.compare(list, lists_received);
-    match verdict {
-        ListVerdict::Supersedes => client.apply(list),
-        ListVerdict::SameVersion => {}
-        ListVerdict::Older => {
+    let comparison = client.compare(list, lists_received);
+    match comparison {
+        ListComparison::Supersedes => client.apply(list),
+        ListComparison::SameVersion => {}
+        ListComparison::Older => {
             tracing::info!(version = list.version, "older endpoint list ignored");
             let full = ListRequest::full(limits.discovery.watch_grace);
-            // A discovery that answers the call for the full list with old changes must not be asked in a busy loop.
+            // Prevents a busy loop when discovery answers a request for the full list with outdated changes.
             if *request == full && !list.is_full {
-                return Err(DiscoveryError::NoFullList);
+                return Err(DiscoveryError::OutdatedChanges);
             }
             return Ok(full);
         }
@@ -138,10 +139,10 @@
     Ok(ListRequest::changes_since(list.version, limits))
 }
 
-/// Asks for the full list at intervals, beside the watch.
+/// Requests the full list at intervals, independently of the watch, and never returns.
 ///
-/// A watch whose answer is lost looks like one without changes until its wait is over, while hosts are added and
-/// removed unseen. A watch that is found to be behind is opened again.
+/// A watch whose response is lost cannot be told from one without changes until its wait is over, and changes of hosts
+/// are missed meanwhile. A watch that is found to be behind is reopened.
 pub async fn check(client: Rc<DiscoveryClient>) {
     loop {
         sleep(client.limits().discovery.full_list_interval).await;
@@ -152,7 +153,7 @@
 async fn check_once(client: &DiscoveryClient) {
     let address = client.address();
     let lists_received = client.lists_received();
-    // A call that fails here fails at the watch too, which reports it.
+    // A failure is ignored here: the watch fails for the same reason, and reports it.
     let Ok(Ok(list)) = timeout(
         client.limits().discovery.full_list_timeout,
         full_list(client, address),
@@ -165,8 +166,8 @@
         return;
     }
     let held = client.version();
-    let verdict = client.compare(&list, lists_received);
-    if verdict == ListVerdict::Supersedes && list.version != held {
+    let comparison = client.compare(&list, lists_received);
+    if comparison == ListComparison::Supersedes && list.version != held {
         tracing::info!(held, version = list.version, "discovery watch is behind");
         client.apply(&list);
         client.reopen_watch();
