--- a/src/net/hot_restart/mod.rs
+++ b/src/net/hot_restart/mod.rs
@@ -42,7 +42,7 @@
     seen: SeenStates,
     /// Start, in nanoseconds of Unix time, of the other process that accepts clients; `None` if there is none.
     other_started_at: Cell<Option<Nanos>>,
-    /// Names of later processes to which this one has written a handoff.
+    /// Names of later processes for which this one has made a handoff, whether or not it could be written.
     handed_over_to: RefCell<HashSet<String>>,
 }
 
