--- a/crates/decision/src/api/identifiers.rs
+++ b/crates/decision/src/api/identifiers.rs
@@ -32,7 +32,7 @@
             /// Panics if the position exceeds `u32::MAX`.
             #[must_use]
             pub fn from_usize(position: usize) -> Self {
-                Self(u32::try_from(position).expect("a position within u32"))
+                Self(u32::try_from(position).expect("position fits in u32"))
             }
 
             /// Returns the position in a slice.
