--- a/crates/decision/src/api/action.rs
+++ b/crates/decision/src/api/action.rs
@@ -21,7 +21,7 @@
     },
     /// Latest moment at which an answer still meets the request's latency objective.
     LatencyObjective {
-        /// Request whose objective it is.
+        /// Request that the objective applies to.
         id: RequestId,
     },
     /// Latest moment up to which a request waits for the reply to its counter call.
@@ -51,7 +51,7 @@
         host: HostId,
         /// Duration after which the caller stops waiting for the answer.
         timeout: Nanos,
-        /// Duration within which the request must be sent; after it the attempt is not made.
+        /// Duration within which the request must be sent; otherwise the attempt is not made.
         begins_within: Nanos,
     },
     /// Stops waiting for the answer to an attempt.
--- a/crates/decision/src/api/log_event.rs
+++ b/crates/decision/src/api/log_event.rs
@@ -3,7 +3,7 @@
 use super::HostId;
 use std::fmt;
 
-/// A condition that operators should know about. The caller decides where to report it and in which words.
+/// A condition that operators should know about. The caller decides on its text and its destination.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogEvent {
     /// Most counter calls fail or are too slow, so that most verdicts are based on local knowledge.
--- a/crates/decision/src/api/settings.rs
+++ b/crates/decision/src/api/settings.rs
@@ -60,7 +60,7 @@
     pub name: String,
     /// Rate at which a customer's quota refills, in units per second; zero if there is no such quota.
     pub rate: f64,
-    /// Maximum of the quota, in units.
+    /// Maximum of the quota in units.
     pub burst: f64,
     /// Maximum number of concurrent attempts of a customer; zero if unlimited.
     pub max_concurrent_attempts: u32,
@@ -72,7 +72,7 @@
     pub over_quota_cost: f64,
     /// Rate at which the hard ceiling refills, in units per second; zero if there is no ceiling.
     pub ceiling_rate: f64,
-    /// Maximum of the hard ceiling, in units.
+    /// Maximum of the hard ceiling in units.
     pub ceiling_burst: f64,
     /// Number of units by which the hard ceiling may be overdrawn.
     pub ceiling_slack: f64,
@@ -97,13 +97,13 @@
     pub classes: Vec<Class>,
     /// Plans. A request refers to one by its [`PlanIndex`](super::PlanIndex).
     pub plans: Vec<Plan>,
-    /// Number of limiters, and the place of this one among them.
+    /// Number of limiters, and the index and zone of this one.
     pub limiters: LimiterSettings,
     /// Discovery of hosts and of their load.
     pub discovery: DiscoverySettings,
-    /// The counter service.
+    /// Use of the counter service.
     pub counter: CounterSettings,
-    /// The units that requests take from quotas.
+    /// Units that requests take from quotas.
     pub units: UnitSettings,
     /// Optional actions that the caller carries out.
     pub capabilities: Capabilities,
@@ -119,7 +119,7 @@
     pub prices: PriceSettings,
 }
 
-/// Number of limiters, and the place of this one among them.
+/// Number of limiters, and the index and zone of this one.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LimiterSettings {
     /// Number of limiters.
@@ -141,7 +141,7 @@
     pub report_source: ReportSource,
 }
 
-/// The counter service.
+/// Use of the counter service.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CounterSettings {
     /// Whether there is a counter service.
@@ -152,7 +152,7 @@
     pub call_price: f64,
 }
 
-/// The units that requests take from quotas.
+/// Units that requests take from quotas.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct UnitSettings {
     /// Whether the units of a request are an estimate; the true ones come with the first successful answer.
@@ -225,9 +225,9 @@
 pub struct PriceSettings {
     /// Cost of one attempt across zones per request.
     pub cross_zone: f64,
-    /// Cost of wasting as much work as was requested.
+    /// Cost of wasting an amount of work equal to the requested work.
     pub waste: f64,
-    /// Cost of failing every request only after its objective.
+    /// Cost if every request fails only after its objective.
     pub late_failure: f64,
     /// Cost of one health check per request.
     pub health_check: f64,
--- a/crates/decision/src/quota.rs
+++ b/crates/decision/src/quota.rs
@@ -1,5 +1,5 @@
 //! Quota enforcement by a sliding window over two counts of each customer, which all limiters share through the
-//! counter service. Of requests, this module knows only the identifiers; of hosts, nothing.
+//! counter service. Refers to requests only by their identifiers and is independent of hosts.
 
 mod call_sampler;
 mod claim;
--- a/crates/decision/src/snapshot/data.rs
+++ b/crates/decision/src/snapshot/data.rs
@@ -88,11 +88,11 @@
 /// Measurements of one process of a host.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct HostSnapshot {
-    /// Number of the host.
+    /// Identifier of the host.
     pub host: u32,
     /// Start time of the process; the measurements do not apply to any other process.
     pub started: Nanos,
-    /// Answer times.
+    /// Answer times of the process.
     #[serde(rename = "slowness")]
     pub latency: LatencyScoreSnapshot,
     /// Maximum number of attempts in flight at the host.
@@ -121,7 +121,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(u32, f64, Nanos)", into = "(u32, f64, Nanos)")]
 pub struct ZoneSnapshot {
-    /// Number of the zone.
+    /// Index of the zone.
     pub zone: u32,
     /// Mean answer time as a multiple of the class's mean.
     pub score: f64,
@@ -137,7 +137,7 @@
 /// Counts of one customer.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct CustomerSnapshot {
-    /// Number of the customer.
+    /// Identifier of the customer.
     pub customer: u64,
     /// Index of the window that the `current` values belong to.
     pub window: u64,
@@ -206,13 +206,13 @@
     previous: f64
 });
 
-/// Number of units with the time that it applies to.
+/// Number of units at a point in time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(f64, Nanos)", into = "(f64, Nanos)")]
 pub struct TimedUnits {
     /// Number of units.
     pub units: f64,
-    /// Time at which the number was valid.
+    /// Time that the number applies to.
     pub at: Nanos,
 }
 impl_array_form!(TimedUnits {
