--- a/tests/quota/counting.rs
+++ b/tests/quota/counting.rs
@@ -275,7 +275,7 @@
 
 /// The request is refunded whether it passes or not.
 #[test]
-fn use_beyond_the_quota_needs_a_positive_weight_and_an_idle_host() {
+fn use_beyond_the_quota_needs_weight_above_cost_and_an_idle_host() {
     for case in [
         RequestBeyondQuota {
             over_quota_weight: 0.2,
