--- a/src/net/engine/call_result.rs
+++ b/src/net/engine/call_result.rs
@@ -1,25 +1,25 @@
-//! How a call to a host ended.
+//! Results of calls to hosts.
 
 use crate::api::{LoadReport, Outcome};
 
-/// How a call to a host ended.
+/// The result of a call to a host.
 pub struct CallResult {
-    /// The outcome.
+    /// Whether the call succeeded, and how it failed if not.
     pub outcome: Outcome,
-    /// The value of a good attempt.
+    /// The value of a good attempt; empty for any other call, and for a value that was streamed.
     pub value: Vec<u8>,
-    /// The load report in the answer.
+    /// The load report in the answer; the default if there is none.
     pub load: LoadReport,
-    /// The figures on usage in the answer.
+    /// The usage figures in the answer.
     pub used: UsageFigures,
 }
 
-/// The figures on usage in an answer; zero: not reported.
+/// The usage figures in an answer. A zero figure was not reported.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct UsageFigures {
-    /// The customer's usage by the host's meter.
+    /// The customer's usage as metered by the host.
     pub metered: u64,
-    /// The request's true units, where they were estimated.
+    /// The units that the request actually took, if the announced units were an estimate.
     pub units: f64,
 }
 
--- a/src/net/engine/clock.rs
+++ b/src/net/engine/clock.rs
@@ -1,13 +1,13 @@
-//! The clock of the decision engine: Unix time that never goes back.
+//! The clock of the decision engine: monotonic Unix time.
 
 use crate::api::Nanos;
 use crate::net::unix_time;
 use tokio::time::Instant;
 
-/// Unix time in nanoseconds, read once from the system and advanced by the monotonic clock.
+/// A clock of Unix time in nanoseconds, read once from the system clock and advanced by the monotonic clock.
 ///
-/// All limiters use Unix time, so they cut quota windows at the same moments; the monotonic clock keeps a step of the
-/// system's clock from moving them.
+/// All limiters use Unix time so that their quota windows begin at the same moments. The monotonic clock keeps a step
+/// of the system clock from shifting the windows.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
@@ -16,7 +16,7 @@
 }
 
 impl Clock {
-    /// A clock that starts from the system's time.
+    /// Creates a clock that starts at the current time of the system clock.
     pub fn new() -> Self {
         Clock {
             unix_start: unix_time::now(),
@@ -24,7 +24,7 @@
         }
     }
 
-    /// The time at `moment`, in nanoseconds since the Unix epoch.
+    /// Returns the time at `moment`, in nanoseconds since the Unix epoch.
     pub fn at(&self, moment: Instant) -> Nanos {
         self.unix_start + moment.saturating_duration_since(self.start).as_nanos() as Nanos
     }
--- a/src/net/engine/mod.rs
+++ b/src/net/engine/mod.rs
@@ -1,6 +1,6 @@
-//! The driver of the decision engine: its clock, its queue of events, and the actions that it orders.
+//! The driver of the decision engine: its clock, its event queue, and the execution of its actions.
 //!
-//! Knows no protocol: a frontend hands in a [`Request`] and gets one [`Answer`].
+//! The driver is independent of any protocol: a frontend submits a [`Request`] and receives one [`Answer`].
 
 mod call_result;
 mod clock;
@@ -27,13 +27,13 @@
 use std::rc::{Rc, Weak};
 use tokio::time::Instant;
 
-/// Carries out the actions that the decision engine orders.
+/// Executes the actions that the decision engine returns.
 pub trait ActionExecutor {
-    /// Carries out one action. Events that follow from it may be handed to the engine before this returns.
+    /// Executes one action. Resulting events may be passed to [`EngineDriver::handle`] before this returns.
     fn execute(&self, action: Action);
 }
 
-/// Owns the decision engine and the open requests, and feeds the engine one event at a time.
+/// Owner of the decision engine and the open requests, which passes the engine one event at a time.
 pub struct EngineDriver {
     engine: RefCell<DecisionEngine>,
     clock: Clock,
@@ -41,14 +41,14 @@
     requests: RefCell<OpenRequests>,
     metrics: Option<SharedMetrics>,
     executor: OnceCell<Weak<dyn ActionExecutor>>,
-    /// An event is being handled further up the stack.
+    /// Whether a caller further up the stack is already handling events.
     is_running: Cell<bool>,
-    /// The allocation that actions are collected in.
+    /// Buffer for the actions of one event, kept between events to reuse its allocation.
     actions: Cell<Vec<Action>>,
 }
 
 impl EngineDriver {
-    /// An engine without events and requests. Its actions are dropped until an executor is set.
+    /// Creates a driver without queued events or open requests. Actions are dropped until an executor is set.
     pub fn new(
         settings: Settings,
         seed: u64,
@@ -69,14 +69,13 @@
         }
     }
 
-    /// Sets who carries out the actions; the first one set stays.
+    /// Sets the executor of the actions. Only the first call has an effect.
     pub fn set_executor(&self, executor: Weak<dyn ActionExecutor>) {
         self.executor.get_or_init(|| executor);
     }
 
-    /// Hands an event to the engine and carries out the actions that it orders. An event that follows from an action
-    /// waits until all actions of the event before are carried out: the engine is never called from within its own
-    /// actions.
+    /// Passes an event to the engine and executes the resulting actions. An event that is raised by an action is queued
+    /// until all actions of the current event are executed, so the engine is never re-entered.
     pub fn handle(&self, event: Event) {
         self.events.borrow_mut().push_back(event);
         if self.is_running.replace(true) {
@@ -109,7 +108,7 @@
         }
     }
 
-    /// Lets the engine decide on an event and appends its actions.
+    /// Passes an event to the engine, which appends its actions to `actions`.
     fn decide(&self, mut event: Event, actions: &mut Vec<Action>) {
         if let Event::AttemptDone {
             id,
@@ -117,13 +116,13 @@
             ..
         } = &mut event
         {
-            // Looked up at this moment: an event before this one may have closed the request.
+            // Looked up only now, since a preceding event may have closed the request.
             *is_request_finished |= !self.requests.borrow().is_open(*id);
         }
         let now = self.clock.at(Instant::now());
         let engine = &mut *self.engine.borrow_mut();
-        // A panic on one event must not end all open requests: each is failed shortly before its deadline,
-        // also where the engine never answers it.
+        // A panic on one event must not abort all open requests. A request that the engine never answers is failed
+        // shortly before its deadline.
         let outcome = catch_unwind(AssertUnwindSafe(|| engine.handle(now, event, actions)));
         if outcome.is_err() {
             tracing::error!("decision engine panicked on an event");
@@ -135,32 +134,32 @@
         self.requests.borrow_mut().apply_limits(limits);
     }
 
-    /// The engine's clock at this moment.
+    /// Returns the current time of the engine's clock.
     pub fn now(&self) -> Nanos {
         self.clock.at(Instant::now())
     }
 
-    /// The engine's status at this moment.
+    /// Returns the engine's current status.
     pub fn status(&self) -> EngineStatus {
         self.engine.borrow().status()
     }
 
-    /// A snapshot of the engine's state, for a process that takes over.
+    /// Returns a snapshot of the engine's state, for the process that takes over in a hot restart.
     pub fn snapshot(&self) -> EngineSnapshot {
         self.engine.borrow().snapshot()
     }
 
-    /// Whether another request can be opened.
+    /// Returns whether the limits on open requests and buffered bytes allow another request.
     pub fn has_capacity(&self) -> bool {
         self.requests.borrow().has_capacity()
     }
 
-    /// Whether a request of this id is open, or has an attempt in flight.
+    /// Returns whether a request with this id is open or still has an attempt in flight.
     pub fn contains_request(&self, id: RequestId) -> bool {
         self.requests.borrow().contains(id)
     }
 
-    /// Opens a request that has arrived at a moment, and takes its payload; returns its deadline.
+    /// Opens a request that arrived at `arrived`, takes its payload, and returns its deadline.
     pub fn open_request(
         &self,
         reply_to: ReplyTo,
@@ -170,26 +169,26 @@
         self.requests.borrow_mut().open(reply_to, request, arrived)
     }
 
-    /// The ids of all open requests.
+    /// Returns the ids of all open requests, in no particular order.
     pub fn open_request_ids(&self) -> Vec<RequestId> {
         self.requests.borrow().ids()
     }
 
-    /// How many requests are open.
+    /// Returns the number of open requests.
     pub fn open_request_count(&self) -> usize {
         self.requests.borrow().count()
     }
 
-    /// Begins an attempt of a request at this moment.
+    /// Begins an attempt of a request now.
     ///
     /// # Errors
-    /// The attempt must not be made.
+    /// Returns an error if the request is closed, past its deadline, or has used up its attempts.
     pub fn begin_attempt(&self, order: AttemptOrder) -> Result<HostCall, AttemptNotAllowed> {
         let now = Instant::now();
         self.requests.borrow_mut().begin_attempt(order, now)
     }
 
-    /// Cancels an attempt, if it is in flight.
+    /// Cancels an attempt if it is in flight.
     pub fn cancel_attempt(&self, attempt_id: AttemptId) {
         self.requests.borrow().cancel_attempt(attempt_id);
     }
@@ -199,12 +198,12 @@
         self.requests.borrow_mut().end_attempt(attempt_id);
     }
 
-    /// Closes a request; returns the recipient of its answer, if it was open.
+    /// Closes a request and returns the recipient of its answer, or `None` if it was not open.
     pub fn close_request(&self, id: RequestId) -> Option<ReplyTo> {
         self.requests.borrow_mut().close(id)
     }
 
-    /// The count of buffered bytes of requests and unread answers.
+    /// Returns the shared count of the bytes of open requests and of answers that clients have not read.
     pub fn buffered_bytes(&self) -> Rc<Cell<usize>> {
         self.requests.borrow().buffered_bytes()
     }
--- a/src/net/engine/open_requests.rs
+++ b/src/net/engine/open_requests.rs
@@ -1,4 +1,4 @@
-//! The requests that have no final answer yet, and the attempts in flight.
+//! Requests without a final answer, and attempts in flight.
 
 use super::host_call::{Cancellation, Charge, HostCall, HostCommand};
 use super::request::{Frontend, Payload, Request};
@@ -11,30 +11,30 @@
 use thiserror::Error;
 use tokio::time::Instant;
 
-/// One attempt of one request.
+/// The identity of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct AttemptId {
-    /// The request.
+    /// The id of the request.
     pub request: RequestId,
-    /// The attempt's index.
+    /// The index of the attempt within the request.
     pub attempt: AttemptIndex,
 }
 
-/// An attempt as the decision engine orders it.
+/// An attempt that the decision engine requests.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptOrder {
-    /// The request.
+    /// The id of the request.
     pub id: RequestId,
-    /// The host.
+    /// The host to send the attempt to.
     pub host: HostId,
-    /// Give up waiting after this time; zero: at the request's deadline.
+    /// The time after which the attempt times out; zero means at the request's deadline.
     pub timeout: Nanos,
-    /// The attempt begins within this time, or not at all.
+    /// The time within which the command must be written; otherwise, the attempt fails without having run.
     pub begins_within: Nanos,
 }
 
 impl AttemptOrder {
-    /// When the attempt is given up, `request_deadline` at the latest.
+    /// Returns when the attempt times out, `request_deadline` at the latest.
     fn deadline(&self, now: Instant, request_deadline: Instant) -> Instant {
         match self.timeout {
             0 => request_deadline,
@@ -42,27 +42,27 @@
         }
     }
 
-    /// By when the command is written completely, `deadline` at the latest.
+    /// Returns the moment by which the command must be written, `deadline` at the latest.
     fn send_by(&self, now: Instant, deadline: Instant) -> Instant {
         now.checked_add(Duration::from_nanos(self.begins_within))
             .map_or(deadline, |send_by| send_by.min(deadline))
     }
 }
 
-/// An attempt must not be made.
+/// The error returned for an attempt that must not be made.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 #[error("attempt {attempt} must not be made")]
 pub struct AttemptNotAllowed {
-    /// The attempt's index.
+    /// The index of the attempt within the request; zero if the request is not open.
     pub attempt: AttemptIndex,
 }
 
 /// The recipient of the answer to a request.
 pub struct ReplyTo {
-    /// The frontend.
+    /// The frontend that received the request.
     pub frontend: Rc<dyn Frontend>,
-    /// The request's place among those of the frontend.
-    pub place: u64,
+    /// The sequence number of the request within the frontend.
+    pub sequence: u64,
 }
 
 struct OpenRequest {
@@ -73,12 +73,12 @@
     attempt_count: u32,
 }
 
-/// The indices of the first attempts of a request.
+/// Returns the indices of the first `count` attempts of a request.
 fn attempt_indices(count: u32) -> impl Iterator<Item = AttemptIndex> {
     (0..count).map(AttemptIndex)
 }
 
-/// All requests without a final answer, and all attempts in flight.
+/// The requests without a final answer, and the attempts in flight.
 pub struct OpenRequests {
     requests: HashMap<RequestId, OpenRequest>,
     in_flight: HashMap<AttemptId, Rc<Cancellation>>,
@@ -87,12 +87,13 @@
     max_requests: usize,
     max_buffered_bytes: usize,
     max_attempts: u32,
-    /// The most attempts that the configurations so far allowed one request.
+    /// The highest `max_attempts` of all configurations since the start. Attempts begun under an earlier configuration
+    /// may still be in flight.
     highest_max_attempts: u32,
 }
 
 impl OpenRequests {
-    /// No request is open.
+    /// Creates an empty table with the limits of a configuration.
     pub fn new(limits: &Limits) -> Self {
         OpenRequests {
             requests: HashMap::new(),
@@ -105,20 +106,20 @@
         }
     }
 
-    /// Applies the limits of a new configuration.
+    /// Applies the limits of a new configuration. The limit on buffered bytes does not change.
     pub fn apply_limits(&mut self, limits: &Limits) {
         self.max_requests = limits.requests.max_open;
         self.max_attempts = limits.requests.max_attempts;
         self.highest_max_attempts = self.highest_max_attempts.max(limits.requests.max_attempts);
     }
 
-    /// Whether another request can be opened.
+    /// Returns whether the limits on open requests and buffered bytes allow another request.
     pub fn has_capacity(&self) -> bool {
         self.requests.len() < self.max_requests
             && self.buffered_bytes.get() < self.max_buffered_bytes
     }
 
-    /// Whether a request of this id is open, or has an attempt in flight.
+    /// Returns whether a request with this id is open or still has an attempt in flight.
     pub fn contains(&self, id: RequestId) -> bool {
         let in_flight = |attempt| {
             let attempt_id = AttemptId {
@@ -130,17 +131,17 @@
         self.requests.contains_key(&id) || attempt_indices(self.highest_max_attempts).any(in_flight)
     }
 
-    /// Whether a request is open.
+    /// Returns whether a request is open.
     pub fn is_open(&self, id: RequestId) -> bool {
         self.requests.contains_key(&id)
     }
 
-    /// The count of buffered bytes, to which frontends add the answers that their clients have not read.
+    /// Returns the shared count of buffered bytes, to which frontends add the answers that their clients have not read.
     pub fn buffered_bytes(&self) -> Rc<Cell<usize>> {
         self.buffered_bytes.clone()
     }
 
-    /// Keeps a request until it is answered, and takes its payload; returns its deadline.
+    /// Adds a request that arrived at `arrived`, takes its payload, and returns its deadline.
     pub fn open(&mut self, reply_to: ReplyTo, request: &mut Request, arrived: Instant) -> Instant {
         let payload = Rc::new(std::mem::take(&mut request.payload));
         let deadline = arrived + request.wait;
@@ -160,10 +161,10 @@
         deadline
     }
 
-    /// Closes a request; returns the recipient of its answer, if it was open.
+    /// Closes a request and returns the recipient of its answer, or `None` if it was not open.
     ///
-    /// An attempt that is not written yet is cancelled: its connection may come up late or its host be slow to read,
-    /// and no attempt may begin for a request that is closed.
+    /// Cancels each attempt whose command is not completely written: its connection may be established late or its host
+    /// may read slowly, and no attempt may begin for a closed request.
     pub fn close(&mut self, id: RequestId) -> Option<ReplyTo> {
         let open = self.requests.remove(&id)?;
         for attempt in attempt_indices(open.attempt_count) {
@@ -182,12 +183,12 @@
         Some(open.reply_to)
     }
 
-    /// The ids of all open requests.
+    /// Returns the ids of all open requests, in no particular order.
     pub fn ids(&self) -> Vec<RequestId> {
         self.requests.keys().copied().collect()
     }
 
-    /// How many requests are open.
+    /// Returns the number of open requests.
     pub fn count(&self) -> usize {
         self.requests.len()
     }
@@ -195,7 +196,7 @@
     /// Begins an attempt of a request.
     ///
     /// # Errors
-    /// The attempt must not be made, since the request is closed, past its deadline, or had all its attempts.
+    /// Returns an error if the request is closed, past its deadline, or has used up its attempts.
     pub fn begin_attempt(
         &mut self,
         order: AttemptOrder,
@@ -234,7 +235,7 @@
         })
     }
 
-    /// Cancels an attempt, if it is in flight.
+    /// Cancels an attempt if it is in flight.
     pub fn cancel_attempt(&self, attempt_id: AttemptId) {
         if let Some(cancellation) = self.in_flight.get(&attempt_id) {
             cancellation.requested.notify_one();
--- a/src/net/engine/request.rs
+++ b/src/net/engine/request.rs
@@ -1,4 +1,4 @@
-//! A client's request as a frontend hands it in, and its one final answer.
+//! Requests as frontends submit them, and their final answers.
 
 use crate::api::{ClassIndex, CustomerId, LimiterIndex, PlanIndex, RequestId};
 use crate::net::streaming_body::StreamingBody;
@@ -6,61 +6,61 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The origin of requests, which gets one answer to each.
+/// The source of requests, which receives exactly one answer to each.
 pub trait Frontend {
-    /// Gives the answer to a request; `place` is its place among the requests of the frontend.
-    fn answer(&self, place: u64, answer: Answer);
+    /// Delivers the answer to a request. `sequence` is the sequence number that the request was submitted with.
+    fn answer(&self, sequence: u64, answer: Answer);
 }
 
-/// The one final answer to a request.
+/// The final answer to a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
-    /// Served, with the value as the host returned it.
+    /// The request was served; holds the value as the host returned it.
     Served(Vec<u8>),
-    /// Served, with a long value that is streamed.
+    /// The request was served with a long value, which is streamed.
     Streaming(Rc<StreamingBody>),
-    /// Rejected before anything ran: a retry is harmless.
+    /// The request was rejected before any host executed it, so a retry is safe.
     Rejected {
-        /// How long the client should wait before it retries; zero: no advice.
+        /// The time that the client should wait before a retry; zero if none is advised.
         retry_after: Duration,
     },
-    /// Failed; whether it ran is not known.
+    /// The request failed. Whether a host executed it is unknown.
     Failed,
 }
 
-/// The arguments of a command for a host. They are passed on unchanged, but for the remaining wait that one of them
+/// The arguments of a command for a host. They are forwarded unchanged, except for the remaining wait that one of them
 /// contains.
 #[derive(Clone, Debug, Default)]
 pub struct Payload {
-    /// The arguments, one behind another.
+    /// The concatenated arguments.
     pub bytes: Vec<u8>,
     /// The range of each argument in `bytes`.
     pub arguments: Vec<Range<usize>>,
-    /// The range of the remaining wait in `bytes`, in milliseconds as decimal text.
+    /// The range in `bytes` of the remaining wait, a decimal number of milliseconds.
     pub wait: Range<usize>,
 }
 
-/// A request as a frontend hands it in.
+/// A request as a frontend submits it.
 #[derive(Clone)]
 pub struct Request {
-    /// The request's id.
+    /// The id that the client gave the request.
     pub id: RequestId,
-    /// Its class; past the last one where the class is not known.
+    /// The index of the request's class; past the last index if the class is unknown.
     pub class: ClassIndex,
-    /// Its plan; past the last one where the plan is not known.
+    /// The index of the customer's plan; past the last index if the plan is unknown.
     pub plan: PlanIndex,
-    /// Its customer.
+    /// The customer whose quota is charged.
     pub customer: CustomerId,
-    /// The units that it takes from the quota.
+    /// The number of quota units that the request takes.
     pub units: f64,
-    /// How many limiters the customer's requests may arrive through.
+    /// The number of limiters that the customer's requests may arrive through.
     pub spread: u32,
     /// The first of these limiters.
     pub first_limiter: LimiterIndex,
-    /// Flags as received; they decide nothing.
+    /// The flags as received. No decision depends on them.
     pub flags: u64,
-    /// How long the client waits.
+    /// The time that the client waits for an answer, counted from the request's arrival.
     pub wait: Duration,
-    /// The command for a host.
+    /// The arguments of the command for a host.
     pub payload: Payload,
 }
--- a/src/net/engine/tests.rs
+++ b/src/net/engine/tests.rs
@@ -1,4 +1,4 @@
-//! The clock, the bounds of attempts, and a frontend and a request that other modules' tests use.
+//! Tests of the clock and the limits on attempts, and fixtures that the tests of other modules share.
 
 use super::*;
 use crate::api::{AttemptIndex, ClassIndex, CustomerId, HostId, LimiterIndex, PlanIndex};
@@ -6,46 +6,46 @@
 use std::time::Duration;
 
 impl EngineDriver {
-    /// The open requests.
+    /// Returns the open requests.
     pub(crate) fn requests(&self) -> &RefCell<OpenRequests> {
         &self.requests
     }
 
-    /// Leaves all events in the queue from now on.
+    /// Stops the handling of events: they stay in the queue from now on.
     pub(crate) fn pause(&self) {
         self.is_running.set(true);
     }
 
-    /// The next event in the queue.
+    /// Removes the next event from the queue; `None` if the queue is empty.
     pub(crate) fn take_event(&self) -> Option<Event> {
         self.next_event()
     }
 }
 
-/// A frontend that records the answers it is given.
+/// A frontend that records the answers it receives, each with its sequence number.
 #[derive(Default)]
 pub(crate) struct RecordingFrontend(pub RefCell<Vec<(u64, Answer)>>);
 
 impl Frontend for RecordingFrontend {
-    fn answer(&self, place: u64, answer: Answer) {
-        self.0.borrow_mut().push((place, answer));
+    fn answer(&self, sequence: u64, answer: Answer) {
+        self.0.borrow_mut().push((sequence, answer));
     }
 }
 
-/// A place for an answer that the test does not read.
+/// Returns a recipient whose answer the test does not read.
 pub(crate) fn no_reply() -> ReplyTo {
     reply_to(&Rc::new(RecordingFrontend::default()), 0)
 }
 
-/// A place at a frontend.
-pub(crate) fn reply_to(frontend: &Rc<RecordingFrontend>, place: u64) -> ReplyTo {
+/// Returns a recipient at a frontend.
+pub(crate) fn reply_to(frontend: &Rc<RecordingFrontend>, sequence: u64) -> ReplyTo {
     ReplyTo {
         frontend: frontend.clone(),
-        place,
+        sequence,
     }
 }
 
-/// The order of an attempt without bounds of its own.
+/// Returns the order of an attempt without a timeout or a limit on its start.
 pub(crate) fn attempt_order(id: u64, host: HostId) -> AttemptOrder {
     AttemptOrder {
         id: RequestId(id),
@@ -55,7 +55,7 @@
     }
 }
 
-/// A request of the example's first class.
+/// Returns a request of the first class of `examples/toy.json`.
 pub(crate) fn request(id: u64) -> Request {
     Request {
         id: RequestId(id),
@@ -88,8 +88,8 @@
     );
 }
 
-/// Attempts are numbered in the order of their orders, timeouts end at the deadline, and no attempt begins past the
-/// limit or the deadline.
+/// Attempts are numbered in the order in which they begin, time out at the request's deadline at the latest, and do not
+/// begin past the limit on attempts or the deadline.
 #[test]
 fn attempts_keep_to_their_limit_and_deadline() {
     with_limiter(&[], |limiter| async move {
@@ -128,7 +128,7 @@
             not_allowed(0)
         );
         assert_eq!(requests.begin_attempt(order(3), now).err(), not_allowed(0));
-        // An id is in use until its last attempt has ended.
+        // The id stays in use until the last attempt has ended.
         requests.close(RequestId(1));
         assert!(requests.contains(RequestId(1)));
         for attempt in 0..4 {
--- a/src/net/frontend.rs
+++ b/src/net/frontend.rs
@@ -1,6 +1,6 @@
 //! The interface between a frontend and the rest of a limiter.
 //!
-//! A frontend knows neither the stages nor the other parts of a limiter. It translates its protocol to
+//! A frontend depends on neither the stages nor the other components of a limiter. It translates its protocol to
 //! [`Request`] and [`Answer`](super::engine::Answer).
 
 use super::config::Limits;
@@ -13,23 +13,24 @@
 #[cfg(test)]
 mod tests;
 
-/// Where frontends hand requests in. Each request handed in gets exactly one answer, through its [`Frontend`].
+/// The recipient of the requests of all frontends. It answers each request exactly once, through the request's
+/// [`Frontend`], unless the request is abandoned.
 pub trait RequestHandler {
-    /// Handles a request; its answer may be given before this returns.
-    fn handle_request(&self, frontend: Rc<dyn Frontend>, place: u64, request: Request);
-    /// Closes a request whose client has gone, without an answer.
+    /// Handles a request. Its answer is delivered with the same `sequence`, possibly before this returns.
+    fn handle_request(&self, frontend: Rc<dyn Frontend>, sequence: u64, request: Request);
+    /// Closes a request whose client has disconnected, without an answer.
     fn abandon_request(&self, id: RequestId);
 }
 
-/// The parts of a limiter that every frontend works with.
+/// The components of a limiter that every frontend uses.
 #[derive(Clone)]
 pub struct FrontendContext {
-    /// Where requests are handed in.
+    /// The handler of the requests.
     pub handler: Rc<dyn RequestHandler>,
-    /// Sizes, counts and times.
+    /// Limits on sizes, counts and times.
     pub limits: Rc<Limits>,
-    /// The phase of the shutdown, and the number of client connections.
+    /// The phase of the shutdown and the number of client connections.
     pub shutdown: Rc<Shutdown>,
-    /// Bytes of open requests, and of answers that clients have not read.
+    /// The number of bytes of open requests and of answers that clients have not read.
     pub buffered_bytes: Rc<Cell<usize>>,
 }
--- a/src/net/frontend/tests.rs
+++ b/src/net/frontend/tests.rs
@@ -1,4 +1,4 @@
-//! A frontend of any protocol works with its context alone.
+//! Tests that a frontend of any protocol needs only its context.
 
 use super::*;
 use crate::api::Event;
@@ -7,24 +7,24 @@
 use crate::net::stages::complete;
 use crate::net::tests::{next, with_limiter};
 
-/// Requests of a frontend reach the engine and are answered once, and abandoned ones are reported.
+/// Requests of a frontend reach the engine and are answered once; abandoned requests are reported to the engine.
 #[test]
 fn frontend_works_with_its_context_alone() {
     with_limiter(&[], |limiter| async move {
         let context = limiter.pipeline().frontend_context();
         let frontend = Rc::new(RecordingFrontend::default());
-        let hand_in = |place, id| {
+        let submit = |sequence, id| {
             context
                 .handler
-                .handle_request(frontend.clone(), place, request(id));
+                .handle_request(frontend.clone(), sequence, request(id));
         };
-        hand_in(7, 1);
-        hand_in(8, 2);
-        // The id of an open request is refused.
-        hand_in(9, 1);
+        submit(7, 1);
+        submit(8, 2);
+        // A second request with the id of an open one fails.
+        submit(9, 1);
         assert_eq!(*frontend.0.borrow(), [(9, Answer::Failed)]);
         context.handler.abandon_request(RequestId(2));
-        complete::give_up(limiter.pipeline(), RequestId(1));
+        complete::fail_if_open(limiter.pipeline(), RequestId(1));
         assert_eq!(
             frontend.0.borrow().as_slice(),
             [(9, Answer::Failed), (7, Answer::Failed)]
--- a/src/net/limiter.rs
+++ b/src/net/limiter.rs
@@ -1,4 +1,4 @@
-//! One limiter process: owns its parts, starts them, serves clients, and ends in order.
+//! The limiter process: owns its components, starts them, serves clients, and shuts down gracefully.
 
 use super::admin::{self, AdminContext};
 use super::config::{Config, Limits};
@@ -28,36 +28,36 @@
 #[cfg(test)]
 pub(crate) mod tests;
 
-/// Connections that may wait to be accepted.
+/// Maximum number of connections that wait to be accepted.
 const LISTEN_BACKLOG: u32 = 1024;
 
-/// All parts of one limiter. One thread runs them; nothing is borrowed across an await.
+/// The components of one limiter. They run on a single thread, and no `RefCell` borrow is held across an await point.
 pub struct Limiter {
-    /// Sizes, counts and times.
+    /// Limits on sizes, counts and times.
     limits: Rc<Limits>,
-    /// The decision engine, and the open requests.
+    /// The decision engine and the open requests.
     engine: Rc<EngineDriver>,
-    /// Hosts and the connections to them.
+    /// The hosts and the connections to them.
     upstream: Rc<UpstreamPool>,
     /// The connections to the counter.
     counter: Rc<CounterClient>,
     /// The endpoint list.
     discovery: Rc<DiscoveryClient>,
-    /// The phase of the shutdown, and the number of client connections.
+    /// The phase of the shutdown and the number of client connections.
     shutdown: Rc<Shutdown>,
-    /// The other process of this limiter, while a new version takes over.
+    /// The exchange with the other process of this limiter while a new version takes over.
     hot_restart: Rc<HotRestart>,
-    /// The parts that the admin interface reads and changes.
+    /// The components that the admin interface reads and changes.
     admin: Rc<AdminContext>,
-    /// The configuration in force.
+    /// The active configuration, and its reload.
     reloader: Rc<ConfigReloader>,
-    /// The stages that a request passes.
+    /// The stages that a request passes through.
     pipeline: Rc<Pipeline>,
-    /// The metrics for operators; `None` where the configuration does not ask for them.
+    /// The log of the metrics; `None` unless the configuration sets an interval for it.
     metrics_log: Option<MetricsLog>,
 }
 
-/// How a limiter starts, beyond the parts that it consists of.
+/// The configuration that is used only to start the limiter.
 struct StartOptions {
     listen: SocketAddr,
     admin: Option<SocketAddr>,
@@ -67,8 +67,7 @@
 }
 
 impl Limiter {
-    /// A limiter that has received nothing and is connected to nothing yet. Each part is given the parts that it works
-    /// with.
+    /// Creates a limiter without any connections, and wires up its components.
     pub fn new(config: Config) -> Self {
         let has_admin = config.admin.is_some();
         let new_metrics_log = |interval| MetricsLog::new(interval, config.name.clone());
@@ -115,26 +114,27 @@
         }
     }
 
-    /// Starts all parts, serves clients until the process is asked to end, and ends in order.
+    /// Starts all components, serves clients until the process is asked to terminate, and shuts down gracefully.
     async fn run(self, options: StartOptions) -> Result<(), StartError> {
-        // First, so that no signal finds the process without a handler.
+        // First, so that no signal arrives before its handler is installed.
         self.watch_signals()?;
         if let Some(lease) = options.lease {
             self.start_leases(lease).await?;
         }
-        // The list that another process hands over takes precedence over that of the configuration.
+        // An endpoint list handed over by another process takes precedence over the one in the configuration.
         self.hot_restart.look();
         self.discovery.restore(&options.known_hosts)?;
-        self.start_clients(options.backoff);
+        self.start_service_clients(options.backoff);
         let admin_listener = match options.admin {
             Some(address) => Some(bind_admin(address).await?),
             None => None,
         };
         if self.hot_restart.is_other_serving() {
-            self.catch_up().await;
+            self.await_handoff().await;
         }
         let address = options.listen;
-        let listener = open(address).map_err(|source| StartError::Listen { address, source })?;
+        let listener =
+            bind_listener(address).map_err(|source| StartError::Listen { address, source })?;
         if let Some(admin_listener) = admin_listener {
             self.start_admin(admin_listener);
         }
@@ -165,8 +165,8 @@
         Ok(())
     }
 
-    /// Starts the clients of the counter and of discovery, and the log of the metrics.
-    fn start_clients(&self, backoff: Backoff) {
+    /// Starts the counter client, the discovery client, and the log of the metrics.
+    fn start_service_clients(&self, backoff: Backoff) {
         counter::start(&self.counter);
         if let Some(metrics_log) = &self.metrics_log {
             metrics_log.start(self.engine.clone(), self.upstream.clone());
@@ -177,9 +177,9 @@
         }
     }
 
-    /// Waits, for a bounded time, for the endpoint list and for the handoff of the other process of this limiter. A
-    /// process that took clients without them would reject requests that the other one still serves.
-    async fn catch_up(&self) {
+    /// Waits, for a bounded time, for the endpoint list and the handoff from the other process of this limiter. A
+    /// process that accepted clients without them would reject requests that the other one still serves.
+    async fn await_handoff(&self) {
         self.hot_restart.publish();
         let until = Instant::now() + self.limits.hot_restart.discovery_timeout;
         while !self.discovery.has_answered() && Instant::now() < until {
@@ -196,33 +196,34 @@
         spawn(admin::accept(self.admin.clone(), listener));
     }
 
-    /// Waits until every connection is closed and every request answered. Requests that are still open shortly before
-    /// the process has to be gone are failed, so that none stays unanswered.
+    /// Waits until every connection is closed and every request is answered. Requests that are still open shortly
+    /// before the process must exit are failed, so that none remains unanswered.
     async fn finish(&self) {
-        let last = self
+        let answer_deadline = self
             .shutdown
             .last_answers(&self.limits)
             .unwrap_or_else(Instant::now);
         let mut connections = self.shutdown.subscribe_connections();
-        // Requests that are still open past the time are failed below.
-        let _ = timeout_at(last, connections.wait_for(|count| *count == 0)).await;
-        // The attempts of a client that has gone end by themselves; no client waits for them.
-        while self.engine.open_request_count() > 0 && Instant::now() < last {
+        // On a timeout, the requests that are still open are failed below.
+        let _ = timeout_at(answer_deadline, connections.wait_for(|count| *count == 0)).await;
+        // Attempts whose client has disconnected are not waited for: they end on their own, and no client needs them.
+        while self.engine.open_request_count() > 0 && Instant::now() < answer_deadline {
             sleep(self.limits.requests.deadline_margin).await;
         }
         for id in self.engine.open_request_ids() {
-            complete::give_up(&self.pipeline, id);
+            complete::fail_if_open(&self.pipeline, id);
         }
-        let end = last + self.limits.shutdown.final_answer_margin.get();
-        // Past the time the process ends, and the connections that are left end with it.
-        let _ = timeout_at(end, connections.wait_for(|count| *count == 0)).await;
+        let exit_deadline = answer_deadline + self.limits.shutdown.final_answer_margin.get();
+        // On a timeout, the process exits and closes the remaining connections.
+        let _ = timeout_at(exit_deadline, connections.wait_for(|count| *count == 0)).await;
     }
 }
 
-/// Serves until the process is asked to end.
+/// Runs a limiter until the process is asked to terminate.
 ///
 /// # Errors
-/// A part cannot start: the runtime, a signal handler, a listening socket, the leases or the usage export.
+/// Returns an error if a component cannot start: the runtime, a signal handler, a listening socket, the endpoint list
+/// of the configuration, the leases or the usage export.
 pub fn serve(config: Config) -> Result<(), StartError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -239,19 +240,19 @@
 }
 
 async fn bind_admin(address: SocketAddr) -> Result<TcpListener, StartError> {
-    let bound = TcpListener::bind(address).await;
-    bound.map_err(|source| StartError::ListenAdmin { address, source })
+    let result = TcpListener::bind(address).await;
+    result.map_err(|source| StartError::ListenAdmin { address, source })
 }
 
-/// Listens for clients, beside another process of this limiter if there is one.
-fn open(listen: SocketAddr) -> io::Result<TcpListener> {
+/// Binds the listening socket for clients, on an address that another process of this limiter may also listen on.
+fn bind_listener(listen: SocketAddr) -> io::Result<TcpListener> {
     let socket = if listen.is_ipv4() {
         TcpSocket::new_v4()?
     } else {
         TcpSocket::new_v6()?
     };
     socket.set_reuseaddr(true)?;
-    // Where this is not to be had, no other process can listen there, and this one still can.
+    // Without SO_REUSEPORT no other process can listen on the address, but this one still can.
     if let Err(e) = socket.set_reuseport(true) {
         tracing::info!(error = %e, "listening address cannot be shared");
     }
--- a/src/net/limiter/tests.rs
+++ b/src/net/limiter/tests.rs
@@ -1,11 +1,11 @@
-//! The harness of the tests of all parts: a limiter on a thread of its own, and access to its parts.
+//! Test harness for all modules of the limiter: a limiter on the test's thread, and access to its components.
 
 use super::*;
 use crate::api::Event;
 use crate::net::config;
 use std::future::Future;
 
-/// Access to the parts, for tests of other modules.
+/// Accessors for the tests of other modules.
 impl Limiter {
     pub(crate) fn limits(&self) -> &Limits {
         &self.limits
@@ -43,35 +43,35 @@
         &self.pipeline
     }
 
-    /// Ends as the process does.
+    /// Shuts down as the process does.
     pub(crate) async fn end(&self) {
         self.finish().await;
     }
 }
 
-/// Runs a test on a limiter with the example's settings, some of whose text is changed. Events for the decision engine
-/// stay in its queue, for the test to look at.
+/// Runs a test on a limiter with the settings of `examples/toy.json`, in whose text each pair of `changes` replaces the
+/// first string by the second. Events for the decision engine stay in its queue, where the test reads them.
 pub(crate) fn with_limiter<F: Future<Output = ()>>(
     changes: &[(&str, &str)],
     test: impl FnOnce(Rc<Limiter>) -> F,
 ) {
     let mut text = include_str!("../../../examples/toy.json").to_owned();
     for (from, to) in changes {
-        assert!(text.contains(from), "the example holds {from}");
+        assert!(text.contains(from), "the example contains {from}");
         text = text.replace(from, to);
     }
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
-    LocalSet::new().block_on(&runtime.expect("a runtime starts"), async {
-        let config = config::parse(&text, |_| None).expect("the configuration is sound");
+    LocalSet::new().block_on(&runtime.expect("the runtime starts"), async {
+        let config = config::parse(&text, |_| None).expect("the configuration is valid");
         let limiter = Rc::new(Limiter::new(config));
         limiter.engine.pause();
         test(limiter).await;
     });
 }
 
-/// Waits for the next event that the decision engine would handle.
+/// Waits for the next event in the decision engine's queue and removes it.
 pub(crate) async fn next(limiter: &Rc<Limiter>) -> Event {
     loop {
         if let Some(event) = limiter.engine.take_event() {
--- a/src/net/metrics.rs
+++ b/src/net/metrics.rs
@@ -1,7 +1,8 @@
-//! Counts of this limiter's work since its last metrics line, and the line itself.
+//! Counts of a limiter's work since its last metrics line, and the line itself.
 //!
-//! The line is one structured log event, so that the lines of many limiters can be added up by second. It is off unless
-//! our own file asks for it, and no decision depends on it. [`metrics_log`](super::metrics_log) logs it at an interval.
+//! The line is one structured log event, so that the lines of many limiters can be summed per second. It is off unless
+//! the limiter's own configuration file turns it on, and no decision depends on it. [`metrics_log`](super::metrics_log)
+//! logs it at an interval.
 
 use crate::api::{Action, Event, HostId, Nanos, Outcome};
 use quartzcleat_decision::EngineStatus;
@@ -13,15 +14,15 @@
 #[cfg(test)]
 mod tests;
 
-/// The target of the log events, which the limit on repeats leaves alone.
+/// Target of the metrics log events. The limit on repeated log events does not apply to it.
 pub const TARGET: &str = "quartzcleat::metrics";
 
 const NANOS_PER_MS: u64 = 1_000_000;
 
-/// The metrics of one limiter, which several of its parts add to.
+/// The metrics of one limiter, shared by the components that record them.
 pub type SharedMetrics = Rc<RefCell<Metrics>>;
 
-/// The counts of one host.
+/// The counts for one host.
 #[derive(Clone, Copy, Debug, Default)]
 struct HostCounts {
     attempts: u32,
@@ -32,14 +33,14 @@
     connect_failures: u32,
 }
 
-/// Rejections, by the event on which the engine rejected.
+/// Rejected requests, by the event that led to the rejection.
 #[derive(Clone, Copy, Debug, Default)]
 struct Rejections {
-    /// The request itself.
+    /// The arrival of the request.
     on_arrival: u32,
-    /// The counter's answer.
+    /// A reply of the counter, or its failure.
     by_count: u32,
-    /// A timer or a list.
+    /// Any other event, such as a timer or an endpoint list.
     by_time: u32,
     /// The end of an attempt.
     after_attempt: u32,
@@ -53,7 +54,7 @@
     rejections: Rejections,
     failed: u32,
     served: u32,
-    /// Ends of attempts, by their outcome.
+    /// Ended attempts by the name of their outcome.
     outcomes: BTreeMap<&'static str, u32>,
     health_checks: u32,
     counter_calls: u32,
@@ -65,16 +66,16 @@
     hosts: BTreeMap<HostId, HostCounts>,
 }
 
-/// The kind of event that an action follows from.
+/// The kind of event that leads to an action.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
-    /// A request.
+    /// The arrival of a request.
     Request,
-    /// An answer of the counter, or none.
-    Count,
+    /// A reply of the counter, or its failure.
+    CounterReply,
     /// The end of an attempt.
     Attempt,
-    /// A timer or a list.
+    /// Any other event, such as a timer or an endpoint list.
     Other,
 }
 
@@ -82,14 +83,14 @@
     fn from(event: &Event) -> Self {
         match event {
             Event::Request { .. } => Cause::Request,
-            Event::CounterReplied { .. } => Cause::Count,
+            Event::CounterReplied { .. } => Cause::CounterReply,
             Event::AttemptDone { .. } => Cause::Attempt,
             _ => Cause::Other,
         }
     }
 }
 
-/// The name of an outcome in the metrics line.
+/// Returns the name of an outcome in the metrics line.
 fn outcome_name(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Good => "good",
@@ -104,7 +105,7 @@
 }
 
 impl Metrics {
-    /// Nothing is counted yet.
+    /// Creates metrics with all counts at zero. `limiter` is the name of the limiter.
     pub fn new(limiter: String) -> Self {
         Metrics {
             limiter,
@@ -112,7 +113,7 @@
         }
     }
 
-    /// Counts an event for the engine; returns the cause of its actions.
+    /// Counts an event that is passed to the engine, and returns the cause to record its actions with.
     pub fn record_event(&mut self, event: &Event) -> Cause {
         match event {
             Event::Request { .. } => self.requests += 1,
@@ -140,7 +141,7 @@
         }
     }
 
-    /// Counts the actions that follow from an event.
+    /// Counts the actions that result from an event.
     pub fn record_actions(&mut self, cause: Cause, actions: &[Action]) {
         for action in actions {
             self.record_action(cause, action);
@@ -152,7 +153,7 @@
             Action::Attempt { host, .. } => self.hosts.entry(*host).or_default().attempts += 1,
             Action::Reject { .. } => match cause {
                 Cause::Request => self.rejections.on_arrival += 1,
-                Cause::Count => self.rejections.by_count += 1,
+                Cause::CounterReply => self.rejections.by_count += 1,
                 Cause::Attempt => self.rejections.after_attempt += 1,
                 Cause::Other => self.rejections.by_time += 1,
             },
@@ -167,22 +168,23 @@
         }
     }
 
-    /// Counts a connection to a host that was established.
+    /// Counts an established connection to a host.
     pub fn record_connect(&mut self, host: HostId) {
         self.hosts.entry(host).or_default().connected += 1;
     }
 
-    /// Counts a connection to a host that could not be established.
+    /// Counts a failure to establish a connection to a host.
     pub fn record_connect_failure(&mut self, host: HostId) {
         self.hosts.entry(host).or_default().connect_failures += 1;
     }
 
-    /// Counts a call to discovery that failed.
+    /// Counts a failed call to discovery.
     pub fn record_list_failure(&mut self) {
         self.list_failures += 1;
     }
 
-    /// Logs the metrics and begins anew. `connections` counts the established ones by host.
+    /// Logs the metrics and resets all counts. `connections` holds the number of connections to each host that are open
+    /// or being opened.
     pub fn log(
         &mut self,
         now: Nanos,
@@ -223,7 +225,7 @@
         );
     }
 
-    /// `good:12 timeout:1 `.
+    /// Formats the counts of outcomes, as in `good:12 timeout:1 `.
     fn outcomes_text(&self) -> String {
         let mut text = String::new();
         for (outcome, count) in &self.outcomes {
@@ -233,7 +235,8 @@
         text
     }
 
-    /// For each host its id and `attempts/good/rejected/failed/connected/connect failures/connections`.
+    /// Formats the counts of each host as its hexadecimal id, a colon, and
+    /// `attempts/good/rejected/failed/connected/connect failures/connections`, with a space after each host.
     fn hosts_text(&self, connections: &BTreeMap<HostId, usize>) -> String {
         let mut text = String::new();
         let ids: BTreeSet<_> = self.hosts.keys().chain(connections.keys()).collect();
--- a/src/net/metrics/tests.rs
+++ b/src/net/metrics/tests.rs
@@ -1,9 +1,9 @@
-//! Counts by cause and by host.
+//! Tests of the counts by cause and by host.
 
 use super::*;
 use crate::api::{AttemptIndex, LoadReport, RequestId, Timer};
 
-/// Actions are counted by the event that they follow from, ends of attempts by host and outcome.
+/// Actions are counted by the kind of event that leads to them, and ended attempts by host and outcome.
 #[test]
 fn events_and_actions_are_counted_by_cause_and_host() {
     let mut metrics = Metrics::new("one".into());
@@ -22,13 +22,13 @@
     };
     let cause = metrics.record_event(&done(Outcome::Rejected));
     assert_eq!(cause, Cause::Attempt);
-    let again = Action::Attempt {
+    let retry = Action::Attempt {
         id,
         host,
         timeout: 0,
         begins_within: 1,
     };
-    metrics.record_actions(cause, &[again, Action::Reject { id, retry_after: 0 }]);
+    metrics.record_actions(cause, &[retry, Action::Reject { id, retry_after: 0 }]);
     let cause = metrics.record_event(&Event::Timer {
         timer: Timer::LatencyObjective { id },
     });
--- a/src/net/metrics_log.rs
+++ b/src/net/metrics_log.rs
@@ -1,4 +1,4 @@
-//! Logs the metrics of a limiter at an interval.
+//! Periodic logging of a limiter's metrics.
 
 use super::engine::EngineDriver;
 use super::metrics::{Metrics, SharedMetrics};
@@ -16,7 +16,7 @@
 }
 
 impl MetricsLog {
-    /// Metrics in which nothing is counted yet.
+    /// Creates a log with all counts at zero. Nothing is logged before [`start`](Self::start).
     pub fn new(interval: Duration, limiter_name: String) -> Self {
         MetricsLog {
             interval,
@@ -24,12 +24,13 @@
         }
     }
 
-    /// The metrics, for the parts that count.
+    /// Returns the metrics, for the components that record them.
     pub fn metrics(&self) -> SharedMetrics {
         self.metrics.clone()
     }
 
-    /// Logs the metrics at the interval from now on, with the state of the engine and of the connections to hosts.
+    /// Spawns a task that logs the metrics immediately and then once per interval, with the state of the engine and the
+    /// connections to hosts.
     pub fn start(&self, engine: Rc<EngineDriver>, upstream: Rc<UpstreamPool>) {
         let metrics = self.metrics.clone();
         let interval = self.interval;
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,7 +1,8 @@
-//! The limiter on sockets: input and output round the decision engine.
+//! The networked limiter: socket I/O around the decision engine.
 //!
-//! A request passes the [`stages`] in turn: accept, admit, route, dispatch, attempt, complete. [`resp`] speaks RESP2 to
-//! clients (downstream) and hosts (upstream); [`counter`] and [`discovery`] are the clients of the two services.
+//! A request passes through the [`stages`] in order: accept, admit, route, dispatch, attempt, complete. [`resp`]
+//! implements RESP2 for clients (downstream) and hosts (upstream); [`counter`] and [`discovery`] are the clients of the
+//! two services of these names.
 
 pub mod admin;
 pub mod config;
--- a/src/net/signals.rs
+++ b/src/net/signals.rs
@@ -1,10 +1,10 @@
-//! Handlers of Unix signals.
+//! Unix signal handlers.
 
 use std::io;
 use thiserror::Error;
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
-/// A signal handler cannot be installed.
+/// The error returned when a signal handler cannot be installed.
 #[derive(Debug, Error)]
 #[error("cannot wait for {signal}: {source}")]
 pub struct SignalError {
@@ -12,18 +12,18 @@
     source: io::Error,
 }
 
-/// Installs the handler of SIGTERM, which starts the shutdown.
+/// Installs the handler for SIGTERM, which starts the shutdown.
 ///
 /// # Errors
-/// The handler cannot be installed.
+/// Returns an error if the handler cannot be installed.
 pub fn on_terminate() -> Result<Signal, SignalError> {
     install(SignalKind::terminate(), "SIGTERM")
 }
 
-/// Installs the handler of SIGHUP, which reloads the configuration.
+/// Installs the handler for SIGHUP, which reloads the configuration.
 ///
 /// # Errors
-/// The handler cannot be installed.
+/// Returns an error if the handler cannot be installed.
 pub fn on_hangup() -> Result<Signal, SignalError> {
     install(SignalKind::hangup(), "SIGHUP")
 }
--- a/src/net/stages/accept.rs
+++ b/src/net/stages/accept.rs
@@ -1,4 +1,4 @@
-//! First stage: a request from a frontend is opened, or answered at once where there is no capacity for it.
+//! First stage: opens a request from a frontend, or rejects it immediately if there is no capacity for it.
 
 use super::admit;
 use super::pipeline::Pipeline;
@@ -7,28 +7,29 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// Accepts a request. Past the limits on open requests and buffered bytes it is rejected at once.
+/// Accepts a request. Rejects it immediately past the limits on open requests and buffered bytes and from
+/// [`Phase::LastCall`] on, and fails it if its id is still in use.
 pub fn accept(
     pipeline: &Rc<Pipeline>,
     frontend: Rc<dyn Frontend>,
-    place: u64,
+    sequence: u64,
     mut request: Request,
 ) {
     let arrived = Instant::now();
     if !pipeline.engine.has_capacity() || pipeline.shutdown.phase() >= Phase::LastCall {
         let retry_after = pipeline.limits.requests.capacity_retry_after.get();
-        return frontend.answer(place, Answer::Rejected { retry_after });
+        return frontend.answer(sequence, Answer::Rejected { retry_after });
     }
-    // An id that is still in use would make two requests one.
+    // Requests are tracked by id, so a second request with an id that is still in use could not be told from the first.
     if pipeline.engine.contains_request(request.id) {
-        return frontend.answer(place, Answer::Failed);
+        return frontend.answer(sequence, Answer::Failed);
     }
-    // No request may still be open when the process has to be gone.
+    // No request may still be open when the process must exit.
     if let Some(last_answers) = pipeline.shutdown.last_answers(&pipeline.limits) {
         let remaining = last_answers.saturating_duration_since(arrived);
         request.wait = request.wait.min(remaining);
     }
-    let reply_to = ReplyTo { frontend, place };
+    let reply_to = ReplyTo { frontend, sequence };
     let deadline = pipeline
         .engine
         .open_request(reply_to, &mut request, arrived);
--- a/src/net/stages/admit.rs
+++ b/src/net/stages/admit.rs
@@ -1,4 +1,4 @@
-//! Second stage: the decision engine gets the request and decides whether it is admitted.
+//! Second stage: passes the request to the decision engine, which decides on its admission.
 
 use super::complete;
 use super::pipeline::Pipeline;
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use tokio::time::{sleep_until, Instant};
 
-/// Hands a request to the engine, and fails it shortly before its deadline where it has no answer by then.
+/// Passes a request to the engine, and fails it shortly before its deadline if it has no answer by then.
 pub fn admit(pipeline: &Rc<Pipeline>, request: &Request, deadline: Instant) {
     let id = request.id;
     pipeline.engine.handle(Event::Request {
@@ -22,13 +22,13 @@
         first_limiter: request.first_limiter,
         flags: request.flags,
     });
-    // A request that the engine never answers is failed shortly before its deadline.
-    let last_moment = deadline
+    // The engine may never answer the request.
+    let fail_at = deadline
         .checked_sub(pipeline.limits.requests.deadline_margin)
         .unwrap_or(deadline);
     let pipeline = pipeline.clone();
     spawn(async move {
-        sleep_until(last_moment).await;
-        complete::give_up(&pipeline, id);
+        sleep_until(fail_at).await;
+        complete::fail_if_open(&pipeline, id);
     });
 }
--- a/src/net/stages/attempt.rs
+++ b/src/net/stages/attempt.rs
@@ -1,4 +1,4 @@
-//! Fifth stage: a call is written to its host, and its answer awaited.
+//! Fifth stage: writes a call to its host and reads the answer.
 
 use super::call_end::CallEnd;
 use super::pipeline::Pipeline;
@@ -18,7 +18,7 @@
 enum Exchange {
     /// The call has ended.
     Ended(CallEnd),
-    /// The head of a long value was received; the value is streamed.
+    /// The head of a long value was received; the value itself remains to be streamed.
     LongValue(ValueHead),
 }
 
@@ -28,8 +28,8 @@
     }
 }
 
-/// Runs a call on a connection and records its usage. A call that is cancelled or timed out leaves its answer unread,
-/// so its connection ends with it.
+/// Runs a call on a connection and records its usage. A cancelled or timed-out call leaves its answer unread, so its
+/// connection cannot be reused.
 pub async fn run(
     pipeline: &Pipeline,
     connection: &mut UpstreamConnection,
@@ -63,7 +63,7 @@
         },
         () = sleep_until(call.deadline) => Outcome::Timeout,
     };
-    // A host does not run a command that it has not received completely.
+    // A host does not execute a command that it has not received completely.
     if outcome == Outcome::Timeout && !connection.command_sent {
         Outcome::ConnectFailed.into()
     } else {
@@ -89,7 +89,7 @@
     }
 }
 
-/// Writes the whole command.
+/// Writes the whole command; returns the outcome of the call if that fails.
 async fn write_command(
     connection: &mut UpstreamConnection,
     call: &HostCall,
@@ -98,7 +98,7 @@
     upstream::write_command(call, Instant::now(), &mut connection.output);
     let mut written = 0;
     while written < connection.output.len() {
-        // Later than this the hosts may have forgotten an earlier attempt, and a repeat would run twice.
+        // After this time, the hosts may have forgotten an earlier attempt and would execute the request a second time.
         if Instant::now() >= call.send_by {
             return Err(Outcome::ConnectFailed);
         }
@@ -151,7 +151,7 @@
     }
 }
 
-/// Parses the bytes received so far; `None` where the answer is incomplete.
+/// Parses the bytes received so far; returns `None` while the answer is incomplete.
 fn parse_answer(
     pipeline: &Pipeline,
     connection: &mut UpstreamConnection,
@@ -177,7 +177,7 @@
                 call.host,
                 pipeline.upstream.report_source(),
             );
-            // Bytes behind the answer belong to no call.
+            // Bytes after the answer belong to no call, so the connection cannot be reused.
             let reusable = interpretation.is_known_form && length == connection.input.len();
             codec::consume(&mut connection.input, length, limits.codec.read_chunk_bytes);
             Some(Exchange::Ended(CallEnd {
@@ -190,8 +190,8 @@
     }
 }
 
-/// Reads more of an answer. An answer that has begun and pauses for long is malformed, and its attempt may have run;
-/// without this bound the call would last until the request's deadline.
+/// Reads more of an answer. A partial answer that stalls past `answer_stall_timeout` counts as malformed, and its
+/// attempt may have run; without this timeout, the call would last until the request's deadline.
 async fn read_more(connection: &mut UpstreamConnection, limits: &Limits) -> Result<(), Outcome> {
     let has_begun = !connection.input.is_empty();
     let more = codec::read_more(
--- a/src/net/stages/attempt/tests.rs
+++ b/src/net/stages/attempt/tests.rs
@@ -1,4 +1,4 @@
-//! Answers that are malformed, repeated or cut off.
+//! Tests of malformed, repeated and truncated answers.
 
 use super::*;
 use crate::api::{HostEntry, HostId, HostState};
@@ -7,14 +7,15 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// A malformed answer is an error long before the request's deadline, and ends the connection.
+/// A malformed or truncated answer fails the call well before the request's deadline. Its connection, and one with
+/// bytes after a good answer, is not reused.
 #[test]
 fn malformed_answer_ends_the_call_before_its_deadline() {
     with_limiter(&[], |limiter| async move {
         let listener = TcpListener::bind("127.0.0.1:0")
             .await
             .expect("a port is free");
-        let address = listener.local_addr().expect("it has an address");
+        let address = listener.local_addr().expect("a local address");
         let host = HostId(5);
         let entry = HostEntry {
             host,
@@ -41,13 +42,13 @@
                 .open(no_reply(), &mut request(id), now);
             let order = attempt_order(id, host);
             let begun = requests.borrow_mut().begin_attempt(order, now);
-            let call = begun.expect("within the cap");
+            let call = begun.expect("within the limit on attempts");
             let (stream, (mut peer, _)) =
                 tokio::try_join!(TcpStream::connect(address), listener.accept())
-                    .expect("they connect");
+                    .expect("the connection is established");
             peer.write_all(answer.as_bytes())
                 .await
-                .expect("the limiter reads");
+                .expect("the answer is sent");
             let mut connection = UpstreamConnection::new(stream, address);
             let end = run(limiter.pipeline(), &mut connection, &call).await;
             assert_eq!((end.result.outcome, end.reusable), expected, "{answer:?}");
--- a/src/net/stages/call_end.rs
+++ b/src/net/stages/call_end.rs
@@ -1,19 +1,19 @@
-//! How a call ended, for its connection.
+//! The end of a call, from the view of its connection.
 
 use crate::api::Outcome;
 use crate::net::engine::CallResult;
 
-/// How a call ended, and whether its connection can be used again.
+/// The end of a call.
 pub struct CallEnd {
-    /// How the call ended.
+    /// The result of the call.
     pub result: CallResult,
-    /// The connection can carry another call.
+    /// Whether the connection can be used for another call.
     pub reusable: bool,
 }
 
 impl CallEnd {
-    /// The end of a call whose connection is of no more use.
-    pub fn last(result: CallResult) -> Self {
+    /// Creates the end of a call whose connection cannot be reused.
+    pub fn not_reusable(result: CallResult) -> Self {
         CallEnd {
             result,
             reusable: false,
@@ -22,8 +22,8 @@
 }
 
 impl From<Outcome> for CallEnd {
-    /// The end of a call whose connection is of no more use.
+    /// Creates the end of a call whose connection cannot be reused.
     fn from(outcome: Outcome) -> Self {
-        CallEnd::last(outcome.into())
+        CallEnd::not_reusable(outcome.into())
     }
 }
--- a/src/net/stages/complete.rs
+++ b/src/net/stages/complete.rs
@@ -1,4 +1,4 @@
-//! Last stage: the end of a call is reported to the decision engine and, where it ends the request, to its client.
+//! Last stage: reports the end of a call to the decision engine and, if it ends the request, to the client.
 
 use super::pipeline::Pipeline;
 use crate::api::{Event, HostId, Nanos, Outcome, RequestId};
@@ -12,27 +12,27 @@
 /// Whether an answer reached its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Delivery {
-    /// It is the final answer of its request.
+    /// The answer was passed to the frontend, as the final answer to its request.
     Delivered,
-    /// The request had its answer before, or its client has gone.
+    /// The request already had an answer, or its client has disconnected.
     RequestClosed,
 }
 
-/// Gives a request its final answer, if it is still open.
+/// Answers a request if it is still open.
 pub fn answer(pipeline: &Pipeline, id: RequestId, answer: Answer) -> Delivery {
     let reply_to = pipeline.engine.close_request(id);
     let open = reply_to.is_some();
     tracing::debug!(request = format_args!("{:016x}", id.0), open, "answered");
     match reply_to {
         Some(reply_to) => {
-            reply_to.frontend.answer(reply_to.place, answer);
+            reply_to.frontend.answer(reply_to.sequence, answer);
             Delivery::Delivered
         }
         None => Delivery::RequestClosed,
     }
 }
 
-/// Closes a request whose client has gone, without an answer.
+/// Closes a request whose client has disconnected, without an answer, and reports that to the engine.
 pub fn abandon(pipeline: &Pipeline, id: RequestId) {
     let open = pipeline.engine.close_request(id).is_some();
     tracing::debug!(
@@ -45,14 +45,14 @@
     }
 }
 
-/// Fails a request that has no answer yet, and reports that to the engine.
-pub fn give_up(pipeline: &Pipeline, id: RequestId) {
+/// Fails a request if it is still open, and reports that to the engine.
+pub fn fail_if_open(pipeline: &Pipeline, id: RequestId) {
     if answer(pipeline, id, Answer::Failed) == Delivery::Delivered {
         pipeline.engine.handle(Event::Abandoned { id });
     }
 }
 
-/// Begins to answer a request with a long value, which is streamed.
+/// Answers a request with a long value that is about to be streamed, if the request is still open.
 pub fn begin_streaming(pipeline: &Pipeline, call: &HostCall, body: &Rc<StreamingBody>) -> Delivery {
     let HostCommand::Attempt { id, attempt, .. } = call.command else {
         return Delivery::RequestClosed;
@@ -69,7 +69,8 @@
     delivery
 }
 
-/// Records the end of a call. The first good attempt answers the client by itself.
+/// Reports the end of a call to the engine. The first good attempt of a request answers the client without a decision
+/// of the engine.
 pub fn complete(pipeline: &Pipeline, call: &HostCall, result: CallResult) {
     match call.command {
         HostCommand::HealthCheck => pipeline.engine.handle(Event::HealthCheckDone {
@@ -102,7 +103,7 @@
     log_end(attempt_id, call.host, result.outcome, call);
     pipeline.engine.end_attempt(attempt_id);
     if result.outcome == Outcome::Good {
-        // A streamed answer has closed the request already.
+        // Has no effect on a streamed answer, which has already closed the request.
         answer(pipeline, id, Answer::Served(result.value));
     }
     pipeline.engine.handle(Event::AttemptDone {
@@ -111,7 +112,7 @@
         host: call.host,
         outcome: result.outcome,
         elapsed,
-        // The engine driver sets this as it hands the event over.
+        // Set by the engine driver just before it passes the event to the engine.
         is_request_finished: false,
         metered_use: result.used.metered,
         true_units: result.used.units,
--- a/src/net/stages/complete/tests.rs
+++ b/src/net/stages/complete/tests.rs
@@ -1,14 +1,13 @@
-//! One request gets one answer.
+//! Tests that each request gets exactly one answer.
 
 use super::*;
 use crate::api::AttemptIndex;
-
 use crate::net::engine::tests::{attempt_order, reply_to, request, RecordingFrontend};
 use crate::net::engine::UsageFigures;
 use crate::net::tests::{next, with_limiter};
 use tokio::time::Instant;
 
-/// The first good attempt answers the client; a later one is reported to the engine only.
+/// The first good attempt answers the client; a later one is only reported to the engine.
 #[test]
 fn only_the_first_good_attempt_answers_the_client() {
     with_limiter(&[], |limiter| async move {
@@ -23,7 +22,7 @@
         let begin = || {
             let order = attempt_order(1, HostId(5));
             let begun = engine.requests().borrow_mut().begin_attempt(order, now);
-            begun.expect("within the cap")
+            begun.expect("within the limit on attempts")
         };
         let first = begin();
         let second = begin();
@@ -41,7 +40,7 @@
             ..Outcome::Good.into()
         };
         complete(pipeline, &second, result);
-        give_up(pipeline, RequestId(1));
+        fail_if_open(pipeline, RequestId(1));
         assert_eq!(
             answer(pipeline, RequestId(1), Answer::Failed),
             Delivery::RequestClosed
--- a/src/net/stages/dispatch.rs
+++ b/src/net/stages/dispatch.rs
@@ -1,4 +1,4 @@
-//! Fourth stage: a call gets a connection, the idle one to its host that was used last or a new one.
+//! Fourth stage: assigns a call to a connection, the most recently used idle one to its host or a new one.
 
 use super::call_end::CallEnd;
 use super::pipeline::Pipeline;
@@ -13,14 +13,14 @@
 use tokio::sync::oneshot;
 use tokio::time::{sleep, timeout_at, Instant};
 
-/// Sends a call on its way.
+/// Sends a call on an idle connection to its host, or on a new one if there is none.
 pub fn send(pipeline: &Rc<Pipeline>, call: HostCall) {
     if let Err(call) = pipeline.upstream.send_on_idle(call, &pipeline.limits) {
         spawn(run_connection(pipeline.clone(), call));
     }
 }
 
-/// Sends a health check on its way.
+/// Sends a health check to a host.
 pub fn check_health(pipeline: &Rc<Pipeline>, host: HostId) {
     let now = Instant::now();
     let deadline = now + pipeline.limits.connect_timeout.get();
@@ -35,7 +35,7 @@
     send(pipeline, call);
 }
 
-/// Opens a connection for a call, and carries the call and others on it for as long as it is usable.
+/// Opens a connection for a call, and runs this and subsequent calls on it for as long as it is usable.
 async fn run_connection(pipeline: Rc<Pipeline>, call: HostCall) {
     let Some(_permit) = pipeline
         .upstream
@@ -46,7 +46,7 @@
     match connect(&pipeline, &call).await {
         Ok(connection) => {
             pipeline.upstream.record_connect(call.host);
-            carry_calls(&pipeline, connection, call).await;
+            run_calls(&pipeline, connection, call).await;
         }
         Err(outcome) => {
             pipeline.upstream.record_connect_failure(call.host);
@@ -55,16 +55,16 @@
     }
 }
 
-/// Carries a call, and others as the pool hands them to the idle connection.
-async fn carry_calls(
+/// Runs a call on a connection, and then each call that the pool assigns to the connection while it is idle.
+async fn run_calls(
     pipeline: &Rc<Pipeline>,
     mut connection: UpstreamConnection,
     mut call: HostCall,
 ) {
     loop {
         let CallEnd { result, reusable } = attempt::run(pipeline, &mut connection, &call).await;
-        // The connection is idle before the engine handles the end of the call, so that the engine's next call finds
-        // it.
+        // Added before the engine handles the end of the call, so that a call that results from it can use the
+        // connection.
         let idle_place = if reusable {
             pipeline.upstream.add_idle(call.host, connection.peer)
         } else {
@@ -75,7 +75,8 @@
             return;
         };
         match wait_for_call(pipeline, &mut connection, next_call).await {
-            // The host closed it meanwhile: nothing has been written, so the call goes to another connection.
+            // The host has closed the connection in the meantime. Nothing has been written, so the call is sent on
+            // another connection.
             Some(next) if !connection.is_quiet() => return send(pipeline, next),
             Some(next) => call = next,
             None => return pipeline.upstream.remove_idle(call.host, serial),
@@ -95,7 +96,7 @@
         () = call.cancellation.requested.notified() => Err(Outcome::Cancelled),
         connected = timeout_at(connect_by, TcpStream::connect(address)) => match connected {
             Ok(Ok(stream)) => {
-                // Without it answers are a little later; the connection works all the same.
+                // Without TCP_NODELAY, latency is slightly higher, but the connection still works.
                 let _ = stream.set_nodelay(true);
                 Ok(UpstreamConnection::new(stream, address))
             }
@@ -104,8 +105,8 @@
     }
 }
 
-/// Waits for the connection's next call; `None` once it has been idle for too long, or anything was received on it.
-/// The call is polled first, so that none is lost to another cause.
+/// Waits for the next call on an idle connection; returns `None` after the idle timeout, or if anything is received.
+/// The call is polled first, so that no call is lost when another branch is ready at the same time.
 async fn wait_for_call(
     pipeline: &Pipeline,
     connection: &mut UpstreamConnection,
--- a/src/net/stages/mod.rs
+++ b/src/net/stages/mod.rs
@@ -1,4 +1,4 @@
-//! The stages that a request passes: [`accept`], [`admit`], [`route`], [`dispatch`], [`attempt`], [`complete`].
+//! The stages that a request passes through: [`accept`], [`admit`], [`route`], [`dispatch`], [`attempt`], [`complete`].
 
 pub mod accept;
 pub mod admit;
@@ -22,16 +22,16 @@
 
 impl ActionExecutor for Pipeline {
     fn execute(&self, action: Action) {
-        if let Some(pipeline) = self.this() {
-            route::carry_out(&pipeline, action);
+        if let Some(pipeline) = self.as_rc() {
+            route::execute(&pipeline, action);
         }
     }
 }
 
 impl RequestHandler for Pipeline {
-    fn handle_request(&self, frontend: Rc<dyn Frontend>, place: u64, request: Request) {
-        if let Some(pipeline) = self.this() {
-            accept::accept(&pipeline, frontend, place, request);
+    fn handle_request(&self, frontend: Rc<dyn Frontend>, sequence: u64, request: Request) {
+        if let Some(pipeline) = self.as_rc() {
+            accept::accept(&pipeline, frontend, sequence, request);
         }
     }
 
--- a/src/net/stages/pipeline.rs
+++ b/src/net/stages/pipeline.rs
@@ -1,4 +1,4 @@
-//! The parts of a limiter that the stages work with.
+//! The components of a limiter that the stages use.
 
 use crate::net::config::Limits;
 use crate::net::counter::CounterClient;
@@ -10,26 +10,26 @@
 use std::cell::OnceCell;
 use std::rc::{Rc, Weak};
 
-/// The stages of one limiter.
+/// The request pipeline of one limiter: the components that its stages share.
 pub struct Pipeline {
-    /// Sizes, counts and times.
+    /// Limits on sizes, counts and times.
     pub(super) limits: Rc<Limits>,
-    /// Decides on requests.
+    /// The decision engine and the open requests.
     pub(super) engine: Rc<EngineDriver>,
-    /// The connections to hosts.
+    /// The hosts and the connections to them.
     pub(super) upstream: Rc<UpstreamPool>,
     /// The connections to the counter.
     pub(super) counter: Rc<CounterClient>,
     /// The phase of the shutdown.
     pub(super) shutdown: Rc<Shutdown>,
-    /// Set where usage is exported.
+    /// The recorder of usage; unset unless usage is exported.
     usage_recorder: OnceCell<Rc<UsageRecorder>>,
-    /// The pipeline itself, for the tasks that it starts.
-    this: Weak<Pipeline>,
+    /// Reference to the pipeline itself, for the tasks that it spawns.
+    weak_self: Weak<Pipeline>,
 }
 
 impl Pipeline {
-    /// A pipeline that carries out the actions that the engine orders.
+    /// Creates a pipeline and sets it as the executor of the engine's actions.
     pub fn new(
         limits: &Rc<Limits>,
         engine: &Rc<EngineDriver>,
@@ -37,36 +37,36 @@
         counter: &Rc<CounterClient>,
         shutdown: &Rc<Shutdown>,
     ) -> Rc<Self> {
-        let pipeline = Rc::new_cyclic(|this: &Weak<Pipeline>| Pipeline {
+        let pipeline = Rc::new_cyclic(|weak_self: &Weak<Pipeline>| Pipeline {
             limits: limits.clone(),
             engine: engine.clone(),
             upstream: upstream.clone(),
             counter: counter.clone(),
             shutdown: shutdown.clone(),
             usage_recorder: OnceCell::new(),
-            this: this.clone(),
+            weak_self: weak_self.clone(),
         });
-        let executor: Weak<dyn ActionExecutor> = pipeline.this.clone();
+        let executor: Weak<dyn ActionExecutor> = pipeline.weak_self.clone();
         pipeline.engine.set_executor(executor);
         pipeline
     }
 
-    /// Records the usage of each attempt from now on; the first recorder set stays.
+    /// Records the usage of each attempt from now on. Only the first call has an effect.
     pub fn record_usage(&self, usage_recorder: Rc<UsageRecorder>) {
         self.usage_recorder.get_or_init(|| usage_recorder);
     }
 
-    /// The usage recorder, where usage is exported.
+    /// Returns the usage recorder, or `None` if usage is not exported.
     pub(super) fn usage_recorder(&self) -> Option<&Rc<UsageRecorder>> {
         self.usage_recorder.get()
     }
 
-    /// The pipeline itself, for a task that it starts.
-    pub(super) fn this(&self) -> Option<Rc<Pipeline>> {
-        self.this.upgrade()
+    /// Returns a strong reference to the pipeline itself; `None` only while the pipeline is being dropped.
+    pub(super) fn as_rc(&self) -> Option<Rc<Pipeline>> {
+        self.weak_self.upgrade()
     }
 
-    /// The parts of this limiter that a frontend works with.
+    /// Returns the components of this limiter that a frontend uses.
     pub fn frontend_context(self: &Rc<Self>) -> FrontendContext {
         FrontendContext {
             handler: self.clone(),
--- a/src/net/stages/route.rs
+++ b/src/net/stages/route.rs
@@ -1,4 +1,4 @@
-//! Third stage: the decision engine's actions are carried out, in its order.
+//! Third stage: executes the actions of the decision engine, in the order in which it returns them.
 
 use super::pipeline::Pipeline;
 use super::{complete, dispatch};
@@ -9,8 +9,8 @@
 use std::time::Duration;
 use tokio::time::{sleep_until, Instant};
 
-/// Carries out one action.
-pub fn carry_out(pipeline: &Rc<Pipeline>, action: Action) {
+/// Executes one action.
+pub fn execute(pipeline: &Rc<Pipeline>, action: Action) {
     match action {
         Action::Attempt {
             id,
@@ -49,13 +49,13 @@
         Action::HealthCheck { host } => dispatch::check_health(pipeline, host),
         Action::CloseIdle { host } => pipeline.upstream.close_idle(host),
         Action::Log { event } => log(event),
-        // Discovery is watched all the time, and asked for the whole list after each gap. Limiters have no
-        // connections to each other: the engine's messages to them are dropped.
+        // The discovery client always watches discovery, and fetches the complete list after each gap. Limiters have no
+        // connections to each other, so the engine's messages to them are dropped.
         Action::Watch { .. } | Action::FetchHosts | Action::MessagePeers { .. } => {}
     }
 }
 
-/// Writes a condition that the engine reports to the log.
+/// Logs a condition that the engine reports.
 fn log(event: LogEvent) {
     match event {
         LogEvent::CounterDegraded => tracing::info!("counter degraded"),
@@ -81,7 +81,7 @@
         .handle(Event::attempt_never_sent(id, attempt, host));
 }
 
-/// The wait that a rejection advises; zero where rejections advise none.
+/// Returns the wait that a rejection advises; zero if the configuration turns the advice off.
 fn advised_wait(pipeline: &Pipeline, retry_after: Nanos) -> Duration {
     if pipeline.limits.requests.sends_retry_after.get() {
         Duration::from_nanos(retry_after)
--- a/src/net/stages/stream_value.rs
+++ b/src/net/stages/stream_value.rs
@@ -1,4 +1,4 @@
-//! A long value on its way from a host to the client.
+//! Streaming of a long value from a host to the client.
 
 use super::call_end::CallEnd;
 use super::complete::{self, Delivery};
@@ -11,14 +11,14 @@
 use crate::net::streaming_body::StreamingBody;
 use tokio::time::timeout;
 
-/// The bytes behind a value.
+/// The bytes that terminate a value.
 const LINE_END: &[u8] = b"\r\n";
 
-/// The length of the last byte of a value with the line end behind it.
+/// Length in bytes of the last byte of a value and the line end after it.
 const VALUE_END_BYTES: usize = 1 + LINE_END.len();
 
-/// Streams a long value to the client; no deadline of the limiter's cuts it off. Its last byte is kept back until the
-/// host has ended the value as it should, so that no client takes a malformed value for a complete one.
+/// Streams a long value to the client, without a deadline. The last byte is withheld until the host has terminated the
+/// value correctly, so that no client takes a malformed value for a complete one.
 pub(super) async fn stream_value(
     pipeline: &Pipeline,
     connection: &mut UpstreamConnection,
@@ -52,21 +52,21 @@
     }
 }
 
-/// Reads the members behind a streamed value: the figures on usage, and the load report, which is dropped. The value is
-/// good even where they are malformed.
+/// Reads the elements after a streamed value: the usage figures, and the load report, which is discarded. The call is
+/// good even if they are malformed.
 async fn read_trailer(
     connection: &mut UpstreamConnection,
     call: &HostCall,
     limits: &Limits,
 ) -> CallEnd {
     let mut result = CallResult::from(Outcome::Good);
-    let Some(usage) = read_trailer_member(connection, limits).await else {
-        return CallEnd::last(result);
+    let Some(usage) = read_trailer_element(connection, limits).await else {
+        return CallEnd::not_reusable(result);
     };
     result.used = upstream::usage_figures(&usage.reply, &connection.input, call.host);
     consume(connection, usage.length, limits);
-    let Some(load_report) = read_trailer_member(connection, limits).await else {
-        return CallEnd::last(result);
+    let Some(load_report) = read_trailer_element(connection, limits).await else {
+        return CallEnd::not_reusable(result);
     };
     consume(connection, load_report.length, limits);
     CallEnd {
@@ -79,14 +79,15 @@
     codec::consume(&mut connection.input, count, limits.codec.read_chunk_bytes);
 }
 
-/// The next member behind a streamed value; `None` where it is malformed or does not arrive in time.
-async fn read_trailer_member(
+/// Reads the next element after a streamed value, without consuming it; returns `None` if it is malformed or does not
+/// arrive in time.
+async fn read_trailer_element(
     connection: &mut UpstreamConnection,
     limits: &Limits,
 ) -> Option<ParsedReply> {
     loop {
-        if let Some(member) = codec::parse_reply(&connection.input, limits).ok()? {
-            return Some(member);
+        if let Some(element) = codec::parse_reply(&connection.input, limits).ok()? {
+            return Some(element);
         }
         let more = codec::read_more(
             &mut connection.stream,
@@ -98,7 +99,7 @@
     }
 }
 
-/// Moves a value from its host into the body, to its end.
+/// Forwards a value from its host into the body until the value is complete.
 async fn forward_value(
     connection: &mut UpstreamConnection,
     body: &StreamingBody,
@@ -109,7 +110,7 @@
         if body.is_abandoned() {
             return Err(Outcome::Cancelled);
         }
-        // The last byte stays behind until the end of the value has been seen.
+        // The last byte is withheld until the line end after it has been received.
         remaining -= forward_received(connection, body, remaining - 1);
         let is_end_received = connection.input.len() >= VALUE_END_BYTES;
         if remaining == 1 && is_end_received && body.free_capacity() > 0 {
@@ -123,7 +124,7 @@
     }
 }
 
-/// Moves up to `max_count` received bytes into the body, as far as it has capacity; returns how many.
+/// Moves up to `max_count` received bytes into the body, as far as it has capacity, and returns their number.
 fn forward_received(
     connection: &mut UpstreamConnection,
     body: &StreamingBody,
@@ -140,7 +141,7 @@
     count
 }
 
-/// Waits until more of the value was received, or its client has taken some or has gone.
+/// Waits until more of the value is received, or the client has read some of it or disconnected.
 async fn receive_more(
     connection: &mut UpstreamConnection,
     body: &StreamingBody,
--- a/src/net/stages/tests.rs
+++ b/src/net/stages/tests.rs
@@ -1,4 +1,4 @@
-//! Races between the stages of a request, forced on real sockets.
+//! Tests of races between the stages of a request, on real sockets.
 
 use super::complete::Delivery;
 use super::{attempt, complete, dispatch};
@@ -19,7 +19,7 @@
 const HOST: HostId = HostId(5);
 const LONG: Duration = Duration::from_secs(30);
 
-/// A host whose queue of connections is full: a further connection is not established before the host accepts.
+/// A host whose accept queue is full: another connection is established only once the host accepts one.
 struct SlowHost {
     listener: TcpListener,
     address: SocketAddr,
@@ -29,14 +29,14 @@
 async fn slow_host(limiter: &Rc<Limiter>) -> SlowHost {
     let socket = TcpSocket::new_v4().expect("a socket");
     socket
-        .bind("127.0.0.1:0".parse().expect("an address"))
+        .bind("127.0.0.1:0".parse().expect("a valid address"))
         .expect("a port is free");
-    let listener = socket.listen(0).expect("it listens");
-    let address = listener.local_addr().expect("it has an address");
-    // A queue of length zero takes one connection, and is full from then on.
+    let listener = socket.listen(0).expect("the socket listens");
+    let address = listener.local_addr().expect("a local address");
+    // A backlog of zero holds one connection.
     let queued = vec![TcpStream::connect(address)
         .await
-        .expect("the queue takes one")];
+        .expect("the accept queue has room for one connection")];
     let entry = HostEntry {
         host: HOST,
         state: HostState::Ready,
@@ -50,13 +50,13 @@
     }
 }
 
-/// An attempt whose connection is being opened, and the frontend of its request.
+/// An attempt whose connection is being established, and the frontend of its request.
 struct SlowAttempt {
     host: SlowHost,
     frontend: Rc<RecordingFrontend>,
 }
 
-/// Sends an attempt of a request to a host whose connection is not established.
+/// Sends an attempt of a request to a host to which the connection is not yet established.
 async fn send_to_slow_host(limiter: &Rc<Limiter>, begins_within: Duration) -> SlowAttempt {
     limiter.limits().connect_timeout.set(LONG);
     let host = slow_host(limiter).await;
@@ -72,17 +72,20 @@
         ..attempt_order(1, HOST)
     };
     let call = requests.borrow_mut().begin_attempt(order, Instant::now());
-    dispatch::send(limiter.pipeline(), call.expect("within the cap"));
+    dispatch::send(
+        limiter.pipeline(),
+        call.expect("within the limit on attempts"),
+    );
     yield_now().await;
     assert_eq!(
         limiter.upstream().connections_by_host().get(&HOST),
         Some(&1),
-        "the connection is being opened"
+        "the connection is being established"
     );
     SlowAttempt { host, frontend }
 }
 
-/// Checks that the attempt ends with an outcome, and that the host, which now accepts, gets nothing of it.
+/// Checks that the attempt ends with the expected outcome, and that the host, which now accepts, receives nothing.
 async fn assert_nothing_sent(limiter: &Rc<Limiter>, mut host: SlowHost, expected: Outcome) {
     let ended = async {
         loop {
@@ -93,20 +96,24 @@
     };
     let outcome = timeout(Duration::from_secs(5), ended)
         .await
-        .expect("it ends long before its deadline");
+        .expect("the attempt ends long before its deadline");
     assert_eq!(outcome, expected);
     while limiter.upstream().connections_by_host().contains_key(&HOST) {
         yield_now().await;
     }
-    // The only connection in the queue is the one that filled it.
-    let (mut first, _) = host.listener.accept().await.expect("the one before");
+    // The only connection in the accept queue is the one that filled it.
+    let (mut first, _) = host
+        .listener
+        .accept()
+        .await
+        .expect("the queued connection is accepted");
     host.queued.clear();
-    assert_eq!(first.read(&mut [0]).await.expect("its end"), 0);
+    assert_eq!(first.read(&mut [0]).await.expect("end of stream"), 0);
     let (connected, accepted) =
         tokio::join!(TcpStream::connect(host.address), host.listener.accept());
     let (own, (_, from)) = (
-        connected.expect("the queue has capacity again"),
-        accepted.expect("it is accepted"),
+        connected.expect("the accept queue has room again"),
+        accepted.expect("the connection is accepted"),
     );
     assert_eq!(
         own.local_addr().expect("an address"),
@@ -115,7 +122,7 @@
     );
 }
 
-/// The client of a request has gone while the connection for it is being opened: no attempt begins.
+/// The client disconnects while the connection for its request is being established: no attempt begins.
 #[test]
 fn abandoned_request_is_not_sent_once_its_connection_opens() {
     with_limiter(&[], |limiter| async move {
@@ -126,7 +133,7 @@
     });
 }
 
-/// A request was answered while the connection for it is being opened: no attempt begins, and the answer is final.
+/// A request is answered while the connection for it is being established: no attempt begins, and the answer is final.
 #[test]
 fn answered_request_is_not_sent_once_its_connection_opens() {
     with_limiter(&[], |limiter| async move {
@@ -138,7 +145,7 @@
     });
 }
 
-/// The time within which an attempt may begin ends while its connection is being opened: the attempt never ran.
+/// The time to begin an attempt runs out while its connection is being established: the attempt never runs.
 #[test]
 fn late_attempt_does_not_begin_once_its_connection_opens() {
     with_limiter(&[], |limiter| async move {
@@ -148,19 +155,19 @@
         assert_eq!(
             *frontend.0.borrow(),
             [],
-            "the decision engine decides on a retry"
+            "the engine, not the pipeline, decides on a retry"
         );
     });
 }
 
-/// The time within which an attempt may begin is over, on an open connection: nothing is written.
+/// The time to begin an attempt has run out on an established connection: nothing is written.
 #[test]
 fn late_attempt_is_not_written_to_an_open_connection() {
     with_limiter(&[], |limiter| async move {
         let listener = TcpListener::bind("127.0.0.1:0")
             .await
             .expect("a port is free");
-        let address = listener.local_addr().expect("it has an address");
+        let address = listener.local_addr().expect("a local address");
         let entry = HostEntry {
             host: HOST,
             state: HostState::Ready,
@@ -169,8 +176,8 @@
         limiter.upstream().update_host(&entry, address);
         let (stream, accepted) = tokio::join!(TcpStream::connect(address), listener.accept());
         let (mut connection, (mut peer, _)) = (
-            UpstreamConnection::new(stream.expect("it connects"), address),
-            accepted.expect("it is accepted"),
+            UpstreamConnection::new(stream.expect("the connection is established"), address),
+            accepted.expect("the connection is accepted"),
         );
         let now = Instant::now();
         let requests = limiter.engine().requests();
@@ -180,7 +187,7 @@
             ..attempt_order(1, HOST)
         };
         let begun = requests.borrow_mut().begin_attempt(order, now);
-        let call = begun.expect("within the cap");
+        let call = begun.expect("within the limit on attempts");
         while Instant::now() < call.send_by {}
         let end = attempt::run(limiter.pipeline(), &mut connection, &call).await;
         assert_eq!(
@@ -189,7 +196,7 @@
         );
         drop(connection);
         assert_eq!(
-            peer.read(&mut [0]).await.expect("its end"),
+            peer.read(&mut [0]).await.expect("end of stream"),
             0,
             "nothing was written"
         );
--- a/src/net/start_error.rs
+++ b/src/net/start_error.rs
@@ -1,4 +1,4 @@
-//! Why a limiter does not start.
+//! Errors at the start of a limiter.
 
 use super::discovery::ListError;
 use super::leases::LeaseError;
@@ -7,7 +7,8 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// A part of the limiter cannot start. The text names the configuration key that is concerned, if there is one.
+/// The error returned when a part of the limiter cannot start. Its message names the configuration key at fault, if
+/// there is one.
 #[derive(Debug, Error)]
 pub enum StartError {
     /// The asynchronous runtime cannot be built.
@@ -16,26 +17,26 @@
     /// A signal handler cannot be installed.
     #[error(transparent)]
     Signal(#[from] SignalError),
-    /// The leases or the usage export cannot start.
+    /// The leases or the usage export cannot be started.
     #[error(transparent)]
     Lease(#[from] LeaseError),
     /// The endpoint list in the configuration is malformed.
     #[error("known.{0}")]
     KnownHosts(#[from] ListError),
-    /// The address of the admin interface cannot be bound.
+    /// The listening address of the admin interface cannot be bound.
     #[error("console: cannot listen on {address}: {source}")]
     ListenAdmin {
-        /// The address.
+        /// The configured address.
         address: SocketAddr,
-        /// The cause.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The address for clients cannot be bound.
+    /// The listening address for clients cannot be bound.
     #[error("listen: cannot listen on {address}: {source}")]
     Listen {
-        /// The address.
+        /// The configured address.
         address: SocketAddr,
-        /// The cause.
+        /// The error of the operating system.
         source: io::Error,
     },
 }
--- a/src/net/streaming_body.rs
+++ b/src/net/streaming_body.rs
@@ -1,6 +1,6 @@
-//! A long value on its way from a host to a client: a bounded buffer between two tasks.
+//! The body of a long value that is streamed from a host to a client: a bounded buffer between two tasks.
 //!
-//! The writer waits while the buffer is full, the reader while it is empty; each learns when the other is gone.
+//! The writer waits while the buffer is full, the reader while it is empty; each is notified when the other ends.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -14,7 +14,7 @@
 enum WriterState {
     /// More will be written.
     Writing,
-    /// All of the value has been written.
+    /// The whole value has been written.
     Complete,
     /// The remaining bytes will never be written.
     Failed,
@@ -23,7 +23,7 @@
 /// The outcome of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadOutcome {
-    /// The whole buffer was read, and more will be written.
+    /// More of the value is buffered or will be written.
     MoreToCome,
     /// The value has been read to its end.
     Complete,
@@ -31,21 +31,22 @@
     Failed,
 }
 
-/// A value, and the part of it that is on its way between its host and its client.
+/// The body of a streamed value, which buffers the bytes that its host has sent and its client has not yet taken.
 #[derive(Debug)]
 pub struct StreamingBody {
+    /// Length of the whole value in bytes.
     length: usize,
-    /// The most bytes in the buffer.
+    /// Maximum number of bytes in the buffer.
     capacity: usize,
     bytes: RefCell<Vec<u8>>,
     writer_state: Cell<WriterState>,
-    /// The client has gone.
+    /// Whether the client has disconnected.
     is_abandoned: Cell<bool>,
-    /// Notified when there is more to read, or the writer has ended.
+    /// Notified when there is more to read, or when the writer has ended.
     filled: Notify,
-    /// Notified when there is capacity again, or the client has gone.
+    /// Notified when there is capacity again, or when the client has disconnected.
     drained: Notify,
-    /// Buffered bytes of the whole process, this body's included.
+    /// Number of buffered bytes of the whole process, including those of this body.
     buffered_bytes: Rc<Cell<usize>>,
 }
 
@@ -57,7 +58,8 @@
 }
 
 impl StreamingBody {
-    /// The body of a value of this length, in bytes. It counts as twice its capacity: the reader holds as much again.
+    /// Creates the body of a value of `length` bytes. It adds twice its capacity to `buffered_bytes`, since the reader
+    /// holds up to `capacity` bytes too.
     pub fn new(length: usize, capacity: usize, buffered_bytes: Rc<Cell<usize>>) -> Rc<Self> {
         buffered_bytes.set(buffered_bytes.get() + 2 * capacity);
         Rc::new(StreamingBody {
@@ -72,28 +74,29 @@
         })
     }
 
-    /// The value's length, in bytes.
+    /// Returns the length of the whole value in bytes.
     pub fn length(&self) -> usize {
         self.length
     }
 
-    /// How many bytes may be written now.
+    /// Returns the number of bytes that may be written now.
     pub fn free_capacity(&self) -> usize {
         self.capacity.saturating_sub(self.bytes.borrow().len())
     }
 
-    /// Writes bytes; the writer keeps to the free capacity.
+    /// Appends bytes to the buffer. The writer must not exceed [`free_capacity`](Self::free_capacity).
     pub fn write(&self, bytes: &[u8]) {
         self.bytes.borrow_mut().extend_from_slice(bytes);
         self.filled.notify_one();
     }
 
-    /// Records that the value has been written to its end.
+    /// Records that the whole value has been written. Has no effect after [`fail`](Self::fail).
     pub fn complete(&self) {
         self.end(WriterState::Complete);
     }
 
-    /// Records that the remaining bytes of the value will never be written.
+    /// Records that the remaining bytes of the value will never be written. Has no effect after
+    /// [`complete`](Self::complete).
     pub fn fail(&self) {
         self.end(WriterState::Failed);
     }
@@ -105,23 +108,23 @@
         }
     }
 
-    /// Records that the client has gone.
+    /// Records that the client has disconnected.
     pub fn abandon(&self) {
         self.is_abandoned.set(true);
         self.drained.notify_one();
     }
 
-    /// Whether the client has gone.
+    /// Returns whether the client has disconnected.
     pub fn is_abandoned(&self) -> bool {
         self.is_abandoned.get()
     }
 
-    /// Waits until there may be capacity again, or the client may have gone.
+    /// Waits until there may be capacity again, or the client may have disconnected.
     pub async fn drained(&self) {
         self.drained.notified().await;
     }
 
-    /// Waits until there may be more to read.
+    /// Waits until there may be more to read, or the writer has ended.
     pub async fn filled(&self) {
         let is_writing = self.writer_state.get() == WriterState::Writing;
         if is_writing && self.bytes.borrow().is_empty() {
@@ -129,7 +132,7 @@
         }
     }
 
-    /// Moves bytes from the buffer to `output`, which then holds the capacity at most.
+    /// Moves bytes from the buffer to the end of `output`, up to a length of `output` equal to the buffer's capacity.
     pub fn read(&self, output: &mut Vec<u8>) -> ReadOutcome {
         let mut bytes = self.bytes.borrow_mut();
         let count = bytes.len().min(self.capacity.saturating_sub(output.len()));
--- a/src/net/streaming_body/tests.rs
+++ b/src/net/streaming_body/tests.rs
@@ -1,4 +1,4 @@
-//! The bound of the buffer, and the report of its end.
+//! Tests of the buffer's capacity and of the report of its end.
 
 use super::*;
 
--- a/src/net/task.rs
+++ b/src/net/task.rs
@@ -1,8 +1,8 @@
-//! Tasks on the one thread there is.
+//! Tasks on the process's single thread.
 
 use std::future::Future;
 
-/// Starts a task.
+/// Spawns a detached task on the current [`LocalSet`](tokio::task::LocalSet).
 pub fn spawn(task: impl Future<Output = ()> + 'static) {
     drop(tokio::task::spawn_local(task));
 }
--- a/src/net/unix_time.rs
+++ b/src/net/unix_time.rs
@@ -1,9 +1,9 @@
-//! Unix time by the system's clock, which two processes on one machine share.
+//! Unix time from the system clock, which all processes on a machine share.
 
 use crate::api::Nanos;
 use std::time::SystemTime;
 
-/// The Unix time of this moment, in nanoseconds; zero where the system's clock stands before 1970.
+/// Returns the current Unix time in nanoseconds, or zero if the system clock is set to a time before 1970.
 pub fn now() -> Nanos {
     SystemTime::UNIX_EPOCH
         .elapsed()
