--- a/src/net/counter/tests.rs
+++ b/src/net/counter/tests.rs
@@ -6,7 +6,7 @@
 use super::start;
 use crate::api::{Event, Outcome};
 use crate::net::task::spawn;
-use crate::net::tests::{next, with_limiter};
+use crate::net::tests::{next_event, with_limiter};
 use crate::net::Limiter;
 use std::future::Future;
 use std::rc::Rc;
@@ -98,7 +98,7 @@
 
 /// The outcome of the next call that is reported to the engine.
 async fn next_outcome(limiter: &Rc<Limiter>) -> CallOutcome {
-    match next(limiter).await {
+    match next_event(limiter).await {
         Event::CounterReplied { outcome, total, .. } => CallOutcome { outcome, total },
         other => panic!("{other:?}"),
     }
--- a/src/net/discovery/race_tests.rs
+++ b/src/net/discovery/race_tests.rs
@@ -5,7 +5,7 @@
 use crate::api::{Event, HostState};
 use crate::net::config::{parse, Limits};
 use crate::net::task::spawn;
-use crate::net::tests::{next, with_limiter};
+use crate::net::tests::{next_event, with_limiter};
 use crate::net::Limiter;
 use std::future::Future;
 use std::rc::Rc;
@@ -159,7 +159,7 @@
 
 /// The next list that the engine would handle.
 async fn next_list(limiter: &Rc<Limiter>) -> AppliedList {
-    match next(limiter).await {
+    match next_event(limiter).await {
         Event::Hosts {
             version, entries, ..
         } => AppliedList {
--- a/src/net/discovery/tests.rs
+++ b/src/net/discovery/tests.rs
@@ -4,7 +4,7 @@
 use super::*;
 use crate::api::{Event, HostState, ListMode};
 use crate::net::task::spawn;
-use crate::net::tests::{next, with_limiter};
+use crate::net::tests::{next_event, with_limiter};
 use crate::net::Limiter;
 use quartzcleat_admin::MaintenanceChange;
 use std::collections::BTreeMap;
@@ -53,7 +53,7 @@
 
 /// The version of the next full list that the engine would handle, and the state of its first host.
 async fn next_full_list(limiter: &Rc<Limiter>) -> (u64, HostState) {
-    match next(limiter).await {
+    match next_event(limiter).await {
         Event::Hosts {
             version,
             mode: ListMode::Replace,
--- a/src/net/frontend/tests.rs
+++ b/src/net/frontend/tests.rs
@@ -5,7 +5,7 @@
 use crate::net::engine::tests::{request, RecordingFrontend};
 use crate::net::engine::Answer;
 use crate::net::stages::complete;
-use crate::net::tests::{next, with_limiter};
+use crate::net::tests::{next_event, with_limiter};
 
 /// Requests of a frontend reach the engine and are answered once; abandoned requests are reported to the engine.
 #[test]
@@ -30,14 +30,14 @@
             [(9, Answer::Failed), (7, Answer::Failed)]
         );
         for expected in [1, 2] {
-            let event = next(&limiter).await;
+            let event = next_event(&limiter).await;
             assert!(
                 matches!(event, Event::Request { id, .. } if id == RequestId(expected)),
                 "{event:?}"
             );
         }
         assert!(matches!(
-            next(&limiter).await,
+            next_event(&limiter).await,
             Event::Abandoned { id: RequestId(2) }
         ));
         assert_eq!(context.buffered_bytes.get(), 0);
--- a/src/net/limiter/tests.rs
+++ b/src/net/limiter/tests.rs
@@ -72,7 +72,7 @@
 }
 
 /// Waits for the next event in the decision engine's queue and removes it.
-pub(crate) async fn next(limiter: &Rc<Limiter>) -> Event {
+pub(crate) async fn next_event(limiter: &Rc<Limiter>) -> Event {
     loop {
         if let Some(event) = limiter.engine.take_event() {
             return event;
--- a/src/net/reload/race_tests.rs
+++ b/src/net/reload/race_tests.rs
@@ -6,7 +6,7 @@
 use crate::net::engine::{HostCall, HostCommand};
 use crate::net::resp::codec;
 use crate::net::resp::upstream::interpret;
-use crate::net::tests::{next, with_limiter};
+use crate::net::tests::{next_event, with_limiter};
 use crate::net::Limiter;
 use std::rc::Rc;
 use std::time::Duration;
@@ -61,7 +61,7 @@
             &new.replace("\"connIdleNs\": 30000000000", "\"connIdleNs\": 4000000000"),
         );
         assert!(
-            matches!(next(&limiter).await, Event::SettingsChanged { .. }),
+            matches!(next_event(&limiter).await, Event::SettingsChanged { .. }),
             "the file is sound"
         );
         assert_eq!(limiter.upstream().report_source(), ReportSource::Answers);
@@ -88,7 +88,7 @@
             .replace("bed-hold", "bed-check")
             .replace("\"x\"", "\"bed-hold\"");
         reload(&limiter, &new);
-        let Event::SettingsChanged { settings } = next(&limiter).await else {
+        let Event::SettingsChanged { settings } = next_event(&limiter).await else {
             panic!("the engine gets the settings")
         };
         let old = config::parse(TOY, |_| None).expect("sound").settings;
@@ -115,7 +115,7 @@
         );
         // The first file again: its classes get their first indices back.
         reload(&limiter, TOY);
-        let Event::SettingsChanged { settings } = next(&limiter).await else {
+        let Event::SettingsChanged { settings } = next_event(&limiter).await else {
             panic!("the engine gets the settings")
         };
         assert_eq!(settings.classes[..2], old.classes[..]);
--- a/src/net/reload/tests.rs
+++ b/src/net/reload/tests.rs
@@ -33,7 +33,8 @@
         );
         let text = text.replace("\"sendCap\": 4", "\"sendCap\": 2");
         limiter.reloader().apply(read_again(&limiter, &text));
-        let Event::SettingsChanged { settings } = crate::net::tests::next(&limiter).await else {
+        let Event::SettingsChanged { settings } = crate::net::tests::next_event(&limiter).await
+        else {
             panic!("the engine gets the settings")
         };
         let names: Vec<_> = settings
--- a/src/net/shutdown/tests.rs
+++ b/src/net/shutdown/tests.rs
@@ -5,7 +5,7 @@
 use crate::net::engine::tests::{request, RecordingFrontend};
 use crate::net::engine::Answer;
 use crate::net::stages::accept;
-use crate::net::tests::{next, with_limiter};
+use crate::net::tests::{next_event, with_limiter};
 use crate::net::Limiter;
 use tokio::time::sleep;
 
@@ -32,7 +32,7 @@
             .shutdown()
             .last_answers(limiter.limits())
             .expect("the shutdown has started");
-        match next(&limiter).await {
+        match next_event(&limiter).await {
             Event::Request { budget, .. } => {
                 assert!(budget > 2_000_000_000, "it has time up to the last answers");
                 assert!(before + Duration::from_nanos(budget) <= last, "and no more");
@@ -50,7 +50,7 @@
         let mut long_request = request(1);
         long_request.wait = LONG;
         accept::accept(limiter.pipeline(), frontend.clone(), 9, long_request);
-        assert!(matches!(next(&limiter).await, Event::Request { .. }));
+        assert!(matches!(next_event(&limiter).await, Event::Request { .. }));
         // Much time for the client to read the answer, also on a busy machine.
         limiter.limits().shutdown.final_answer_margin.set(LONG);
         start_shutdown(&limiter, LONG + Duration::from_millis(200));
@@ -68,7 +68,7 @@
         assert_eq!(*frontend.0.borrow(), [(9, Answer::Failed)]);
         assert_eq!(limiter.shutdown().connections(), 0, "not cut off");
         assert!(matches!(
-            next(&limiter).await,
+            next_event(&limiter).await,
             Event::Abandoned { id: RequestId(1) }
         ));
     });
--- a/src/net/stages/complete/tests.rs
+++ b/src/net/stages/complete/tests.rs
@@ -4,7 +4,7 @@
 use crate::api::AttemptIndex;
 use crate::net::engine::tests::{attempt_order, reply_to, request, RecordingFrontend};
 use crate::net::engine::UsageFigures;
-use crate::net::tests::{next, with_limiter};
+use crate::net::tests::{next_event, with_limiter};
 use tokio::time::Instant;
 
 /// The first good attempt answers the client; a later one is only reported to the engine.
@@ -47,7 +47,7 @@
         );
         assert_eq!(*frontend.0.borrow(), [(9, Answer::Served(b"bed".to_vec()))]);
         for (number, expected) in [(0, (37, 2.5)), (1, (0, 0.0))] {
-            let event = next(&limiter).await;
+            let event = next_event(&limiter).await;
             assert!(
                 matches!(event, Event::AttemptDone { attempt, metered_use, true_units, .. }
                     if attempt == AttemptIndex(number) && (metered_use, true_units) == expected),
--- a/src/net/stages/tests.rs
+++ b/src/net/stages/tests.rs
@@ -6,7 +6,7 @@
 use crate::net::engine::tests::{attempt_order, no_reply, reply_to, request, RecordingFrontend};
 use crate::net::engine::{Answer, AttemptOrder};
 use crate::net::resp::upstream::UpstreamConnection;
-use crate::net::tests::{next, with_limiter};
+use crate::net::tests::{next_event, with_limiter};
 use crate::net::Limiter;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -89,7 +89,7 @@
 async fn assert_nothing_sent(limiter: &Rc<Limiter>, mut host: SlowHost, expected: Outcome) {
     let ended = async {
         loop {
-            if let Event::AttemptDone { outcome, .. } = next(limiter).await {
+            if let Event::AttemptDone { outcome, .. } = next_event(limiter).await {
                 return outcome;
             }
         }
