--- a/src/net/engine/call_result.rs
+++ b/src/net/engine/call_result.rs
@@ -11,7 +11,7 @@
     /// The load report in the answer; the default if there is none.
     pub load: LoadReport,
     /// The usage figures in the answer.
-    pub used: UsageFigures,
+    pub usage: UsageFigures,
 }
 
 /// The usage figures in an answer. A zero figure was not reported.
@@ -29,7 +29,7 @@
             outcome,
             value: Vec::new(),
             load: LoadReport::default(),
-            used: UsageFigures::default(),
+            usage: UsageFigures::default(),
         }
     }
 }
--- a/src/net/resp/upstream/call_codec.rs
+++ b/src/net/resp/upstream/call_codec.rs
@@ -93,7 +93,7 @@
     Interpretation::known(CallResult {
         value: bytes[value.clone()].to_vec(),
         load: load_report(report, bytes).unwrap_or_default(),
-        used: usage_figures(usage, bytes, host),
+        usage: usage_figures(usage, bytes, host),
         ..Outcome::Good.into()
     })
 }
--- a/src/net/resp/upstream/tests.rs
+++ b/src/net/resp/upstream/tests.rs
@@ -178,7 +178,7 @@
                 is_known_form,
             } = interpret(&reply, bytes.as_bytes(), &attempt(), HostId(5), source);
             assert_eq!(
-                (result.outcome, result.used, is_known_form),
+                (result.outcome, result.usage, is_known_form),
                 (Outcome::Good, UsageFigures { metered, units }, true),
                 "{members:?}"
             );
--- a/src/net/stages/complete.rs
+++ b/src/net/stages/complete.rs
@@ -114,8 +114,8 @@
         elapsed,
         // Set by the engine driver just before it passes the event to the engine.
         is_request_finished: false,
-        metered_use: result.used.metered,
-        true_units: result.used.units,
+        metered_use: result.usage.metered,
+        true_units: result.usage.units,
         load: result.load,
     });
 }
--- a/src/net/stages/complete/tests.rs
+++ b/src/net/stages/complete/tests.rs
@@ -28,7 +28,7 @@
         let second = begin();
         let result = CallResult {
             value: b"bed".to_vec(),
-            used: UsageFigures {
+            usage: UsageFigures {
                 metered: 37,
                 units: 2.5,
             },
--- a/src/net/stages/stream_value.rs
+++ b/src/net/stages/stream_value.rs
@@ -63,7 +63,7 @@
     let Some(usage) = read_trailer_element(connection, limits).await else {
         return CallEnd::not_reusable(result);
     };
-    result.used = upstream::usage_figures(&usage.reply, &connection.input, call.host);
+    result.usage = upstream::usage_figures(&usage.reply, &connection.input, call.host);
     consume(connection, usage.length, limits);
     let Some(load_report) = read_trailer_element(connection, limits).await else {
         return CallEnd::not_reusable(result);
--- a/src/net/usage_export/recorder.rs
+++ b/src/net/usage_export/recorder.rs
@@ -164,7 +164,9 @@
     ) {
         self.crash_if_scheduled(CrashPoint::AttemptEnded);
         let outcome = match result.outcome {
-            Outcome::Good if result.used.units > 0.0 => AttemptOutcome::Executed(result.used.units),
+            Outcome::Good if result.usage.units > 0.0 => {
+                AttemptOutcome::Executed(result.usage.units)
+            }
             Outcome::Good => AttemptOutcome::Executed(estimated_units),
             outcome if outcome.never_ran() || !written => AttemptOutcome::NotExecuted,
             _ => AttemptOutcome::Unknown,
