--- a/src/net/engine/open_requests.rs
+++ b/src/net/engine/open_requests.rs
@@ -51,7 +51,9 @@
 
 /// The error returned for an attempt that must not be made.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-#[error("attempt {attempt} must not be made")]
+#[error(
+    "attempt {attempt} is not allowed: the request is closed, past its deadline or out of attempts"
+)]
 pub struct AttemptNotAllowed {
     /// The index of the attempt within the request; zero if the request is not open.
     pub attempt: AttemptIndex,
--- a/src/net/signals.rs
+++ b/src/net/signals.rs
@@ -6,7 +6,7 @@
 
 /// The error returned when a signal handler cannot be installed.
 #[derive(Debug, Error)]
-#[error("cannot wait for {signal}: {source}")]
+#[error("cannot install the handler for {signal}: {source}")]
 pub struct SignalError {
     signal: &'static str,
     source: io::Error,
--- a/src/net/start_error.rs
+++ b/src/net/start_error.rs
@@ -12,7 +12,7 @@
 #[derive(Debug, Error)]
 pub enum StartError {
     /// The asynchronous runtime cannot be built.
-    #[error("cannot start: {0}")]
+    #[error("cannot create the asynchronous runtime: {0}")]
     Runtime(#[source] io::Error),
     /// A signal handler cannot be installed.
     #[error(transparent)]
