--- a/src/net/engine/request.rs
+++ b/src/net/engine/request.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The source of requests, which receives exactly one answer to each.
+/// The source of requests, which receives exactly one answer to each request that it does not abandon.
 pub trait Frontend {
     /// Delivers the answer to a request. `sequence` is the sequence number that the request was submitted with.
     fn answer(&self, sequence: u64, answer: Answer);
--- a/src/net/limiter.rs
+++ b/src/net/limiter.rs
@@ -39,9 +39,9 @@
     engine: Rc<EngineDriver>,
     /// The hosts and the connections to them.
     upstream: Rc<UpstreamPool>,
-    /// The connections to the counter.
+    /// The counter client.
     counter: Rc<CounterClient>,
-    /// The endpoint list.
+    /// The discovery client and the endpoint list.
     discovery: Rc<DiscoveryClient>,
     /// The phase of the shutdown and the number of client connections.
     shutdown: Rc<Shutdown>,
--- a/src/net/stages/attempt.rs
+++ b/src/net/stages/attempt.rs
@@ -98,7 +98,7 @@
     upstream::write_command(call, Instant::now(), &mut connection.output);
     let mut written = 0;
     while written < connection.output.len() {
-        // After this time, the hosts may have forgotten an earlier attempt and would execute the request a second time.
+        // After this time, a host may have forgotten an earlier attempt and would execute the request a second time.
         if Instant::now() >= call.send_by {
             return Err(Outcome::ConnectFailed);
         }
--- a/src/net/stages/pipeline.rs
+++ b/src/net/stages/pipeline.rs
@@ -18,7 +18,7 @@
     pub(super) engine: Rc<EngineDriver>,
     /// The hosts and the connections to them.
     pub(super) upstream: Rc<UpstreamPool>,
-    /// The connections to the counter.
+    /// The counter client.
     pub(super) counter: Rc<CounterClient>,
     /// The phase of the shutdown.
     pub(super) shutdown: Rc<Shutdown>,
