--- a/src/net/resp/upstream/mod.rs
+++ b/src/net/resp/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! Hosts: the connections to them, and the commands and replies on these.
+//! The hosts: the connection pool, and the encoding of commands and interpretation of replies.
 
 mod call_codec;
 mod connection;
@@ -11,6 +11,6 @@
 
 pub use call_codec::{interpret, may_become_reply, usage_figures, write_command, Interpretation};
 pub use connection::UpstreamConnection;
-pub use host::IdlePlace;
+pub use host::IdleSlot;
 pub use permits::ConnectionPermit;
 pub use pool::UpstreamPool;
