--- a/src/bin/quartzcleat-sim.rs
+++ b/src/bin/quartzcleat-sim.rs
@@ -1,4 +1,4 @@
-//! The decision engines of many limiters over the simulator's protocol, on standard input and output.
+//! Runs the decision engines of many limiters behind the simulator's protocol, on standard input and output.
 
 use quartzcleat::simulator::serve;
 use std::io;
--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -1,4 +1,4 @@
-//! `quartzcleat check`: reads configurations as a limiter would, and reports every fault.
+//! `quartzcleat check`: parses configurations as a limiter would and reports every fault.
 
 use super::{print, serve, Format};
 use crate::net::config;
@@ -9,7 +9,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Exit code where there is nothing to check.
+/// Exit code if there is nothing to check.
 const EXIT_NO_FILES: u8 = 2;
 
 /// Read configuration files and report all their faults.
@@ -30,9 +30,10 @@
     format: Format,
 }
 
-/// A checked file and its faults.
+/// The result of checking one file.
 struct CheckedFile {
     file: String,
+    /// One line per fault; empty if the file is valid.
     faults: Vec<String>,
 }
 
@@ -43,7 +44,9 @@
 }
 
 impl Check {
-    /// Checks the files and prints the report.
+    /// Checks the files, prints the report and returns the exit code.
+    ///
+    /// `product` is the path of the product configuration, `None` if there is none to check.
     pub fn run(self, product: Option<&Path>) -> ExitCode {
         let mut files = self.files;
         if files.is_empty() {
@@ -83,10 +86,10 @@
     }
 }
 
-/// The fault of a limiter's complete configuration, which has more than the settings of a deployment: addresses, limits, and
-/// the last endpoint list. None for a file of settings alone.
+/// Returns the fault of a limiter's complete configuration, which holds addresses, limits and the last endpoint list in
+/// addition to a deployment's settings. `None` if it is valid or the file holds settings alone.
 fn check_complete_configuration(path: &Path) -> Option<String> {
-    // The file was read before; if it has vanished since, there is nothing more to check.
+    // `read_deployment` has read the file before; if it has been removed since, there is nothing more to check.
     let text = std::fs::read_to_string(path).unwrap_or_default();
     let file: Value = serde_json::from_str(&text).ok()?;
     file.get("settings")?;
--- a/src/cli/demo.rs
+++ b/src/cli/demo.rs
@@ -1,5 +1,5 @@
-//! `quartzcleat demo`: limiters and fakes on loopback, a short mixed load with a drain, a silent counter and a lost
-//! host in it, and a table of what happened.
+//! `quartzcleat demo`: runs limiters and fakes on loopback under a short mixed load with a draining host, a silent
+//! counter and a crashed host, and prints a table of the results.
 
 mod table;
 #[cfg(test)]
@@ -18,9 +18,9 @@
 const SETTINGS: &str = include_str!("../../deploy/imlil-main.yaml");
 const INSTALLATION: &str = include_str!("../../deploy/expectations/installation.yaml");
 
-/// The exit code where the demo did not go as its expectations say.
-const EXIT_NOT_AS_EXPECTED: u8 = 1;
-/// The exit code where the demo could not run.
+/// Exit code if an expectation of the demo failed or an invariant was violated.
+const EXIT_EXPECTATION_FAILED: u8 = 1;
+/// Exit code if the demo could not run.
 const EXIT_NOT_RUN: u8 = 2;
 
 /// Start three limiters with fake services on loopback, run a short load and show its events.
@@ -31,19 +31,19 @@
 #[derive(Debug, Args)]
 pub struct Demo {}
 
-/// The demo could not run.
+/// The reason why the demo could not run.
 #[derive(Debug, thiserror::Error)]
 enum DemoError {
-    /// The scenario cannot be used.
+    /// The embedded scenario, settings or installation have faults.
     #[error("{0}")]
     Scenario(Faults),
-    /// A process, a folder or a socket failed.
+    /// An I/O operation on a process, a folder or a socket failed.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
 
 impl Demo {
-    /// Runs the demo and prints what happened.
+    /// Runs the demo, prints its report and returns the exit code.
     pub fn run(self) -> ExitCode {
         match run() {
             Ok(demo) => demo.report(),
@@ -55,7 +55,7 @@
     }
 }
 
-/// A demo that has run.
+/// The scenario of a completed demo run and its records, in the order of time.
 struct CompletedDemo {
     compiled: CompiledExpectation,
     records: Vec<Record>,
@@ -63,7 +63,11 @@
 
 impl CompletedDemo {
     fn report(&self) -> ExitCode {
-        let judgement = judge(&self.compiled, &self.records, super::live::TIME_TOLERANCE);
+        let judgement = judge(
+            &self.compiled,
+            &self.records,
+            super::live::TIME_TOLERANCE_NANOS,
+        );
         super::print(&table::render(
             &self.compiled.scenario.processes,
             &self.records,
@@ -78,7 +82,7 @@
             Some(failure) => {
                 let description = failure.violation.description;
                 super::print(&format!("Not as expected: {description}\n"));
-                ExitCode::from(EXIT_NOT_AS_EXPECTED)
+                ExitCode::from(EXIT_EXPECTATION_FAILED)
             }
         }
     }
@@ -89,7 +93,7 @@
     compiled.scenario.variant = Some(0);
     let folder = super::live::run_folder();
     let records = run_in(&compiled, &folder);
-    // A folder that cannot be removed is left to the system's own cleaning of temporary files.
+    // Best effort: the system cleans up its temporary files.
     let _ = std::fs::remove_dir_all(&folder);
     let mut records = records?;
     records.sort_by_key(|record| record.at);
--- a/src/cli/demo/table.rs
+++ b/src/cli/demo/table.rs
@@ -1,21 +1,20 @@
-//! The table of the demo's events and requests.
+//! Rendering of the demo's events and of its table of requests.
 
 use quartzcleat_decision::api::{ClassIndex, LimiterIndex};
 use quartzcleat_invariants::{Answer, Fact, Processes, Record};
 use std::collections::BTreeMap;
 
-/// Nanoseconds in a second, the unit of the notes' times.
 const NANOS_PER_SECOND: f64 = 1e9;
-/// Nanoseconds in a millisecond, the unit of response times.
 const NANOS_PER_MILLISECOND: f64 = 1e6;
 
-/// A row of the table is for the requests of a class at a limiter.
+/// The limiter and class whose requests a row of the table counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct RowKey {
     limiter: LimiterIndex,
     class: ClassIndex,
 }
 
+/// The counts of one row.
 #[derive(Debug, Default)]
 struct Row {
     received: u32,
@@ -24,15 +23,15 @@
     rejected: u32,
     failed: u32,
     /// Response times of served requests, in nanoseconds.
-    response_times: Vec<u64>,
+    response_times_nanos: Vec<u64>,
 }
 
 impl Row {
-    /// A quantile of the response times, in milliseconds.
+    /// Returns a quantile, in 0..=1, of the sorted response times, in milliseconds; 0 if no request was served.
     fn quantile_ms(&self, quantile: f64) -> f64 {
-        let last = self.response_times.len().saturating_sub(1);
+        let last = self.response_times_nanos.len().saturating_sub(1);
         let position = (last as f64 * quantile) as usize;
-        self.response_times
+        self.response_times_nanos
             .get(position)
             .map_or(0.0, |nanos| *nanos as f64 / NANOS_PER_MILLISECOND)
     }
@@ -41,17 +40,18 @@
 /// A request that a limiter received.
 struct ReceivedRequest {
     row: RowKey,
+    /// Time of receipt, in nanoseconds.
     at: u64,
 }
 
-/// The notes of a run and a table of its requests.
+/// Renders the notes of a run and a table of its requests.
 pub(super) fn render(processes: &Processes, records: &[Record]) -> String {
     let mut text = String::from("Events:\n");
     text.push_str(&render_notes(records));
     text.push('\n');
     text.push_str(&render_header());
-    for (key, mut row) in count(records) {
-        row.response_times.sort_unstable();
+    for (key, mut row) in count_requests(records) {
+        row.response_times_nanos.sort_unstable();
         text.push_str(&render_row(processes, key, &row));
     }
     text.push('\n');
@@ -73,7 +73,7 @@
     )
 }
 
-/// One row; its response times are sorted.
+/// Renders one row, whose response times must be sorted.
 fn render_row(processes: &Processes, key: RowKey, row: &Row) -> String {
     format!(
         "{:24} {:10} {:>8} {:>8} {:>6} {:>8} {:>7} {:>10.1} {:>10.1}\n",
@@ -103,7 +103,7 @@
         .collect()
 }
 
-fn count(records: &[Record]) -> BTreeMap<RowKey, Row> {
+fn count_requests(records: &[Record]) -> BTreeMap<RowKey, Row> {
     let mut rows: BTreeMap<RowKey, Row> = BTreeMap::new();
     let mut requests = BTreeMap::new();
     for record in records {
@@ -139,11 +139,11 @@
     rows
 }
 
-fn count_answer(row: &mut Row, answer: Answer, response_time: u64) {
+fn count_answer(row: &mut Row, answer: Answer, response_time_nanos: u64) {
     match answer {
         Answer::Served => {
             row.served += 1;
-            row.response_times.push(response_time);
+            row.response_times_nanos.push(response_time_nanos);
         }
         Answer::Rejected(_) => row.rejected += 1,
         Answer::Failed => row.failed += 1,
--- a/src/cli/demo/tests.rs
+++ b/src/cli/demo/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of the demo's scenario.
+
 use super::*;
 use quartzcleat_simulation::oracle::FirstOption;
 
--- a/src/cli/expect.rs
+++ b/src/cli/expect.rs
@@ -1,4 +1,4 @@
-//! `quartzcleat expect`: checks expectations without traffic.
+//! `quartzcleat expect`: checks expectations in simulation, without traffic.
 
 use super::{print, Format};
 use clap::Args;
@@ -79,18 +79,18 @@
     format: Format,
 }
 
-/// A range on the command line is invalid.
+/// The reason why a `--range` argument is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 enum RangeError {
-    /// No name and values with `=` between them.
+    /// There is no `=` between a name and its values.
     #[error("write NAME=FROM..TO, such as plans.guide.rate=1.2..2.1")]
     MissingName,
-    /// A value that is not a number.
+    /// A value is not a number.
     #[error("{text:?} is no number; write NAME=FROM..TO, such as plans.guide.rate=1.2..2.1")]
     NotNumber { text: String },
 }
 
-/// Parses `NAME=FROM..TO` or `NAME=VALUE`. A range takes its ends and its middle.
+/// Parses `NAME=FROM..TO` or `NAME=VALUE`. A range yields its two ends and its midpoint.
 fn parse_range(text: &str) -> Result<SettingRange, RangeError> {
     let (name, values) = text.split_once('=').ok_or(RangeError::MissingName)?;
     let values = match values.split_once("..") {
@@ -114,7 +114,7 @@
 }
 
 impl Expect {
-    /// Checks expectations and prints the report.
+    /// Checks the expectations, prints the report and returns the exit code.
     pub fn run(self) -> ExitCode {
         let format = self.format;
         let verbose = self.verbose || self.path.is_some();
--- a/src/cli/expect/tests.rs
+++ b/src/cli/expect/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of `--range` parsing.
+
 use super::*;
 
 fn range(name: &str, values: &[f64]) -> SettingRange {
@@ -8,7 +10,7 @@
 }
 
 #[test]
-fn ranges_have_their_ends_and_their_middle() {
+fn range_yields_its_ends_and_its_midpoint() {
     assert_eq!(
         parse_range("plans.guide.rate=1..2"),
         Ok(range("plans.guide.rate", &[1.0, 1.5, 2.0]))
--- a/src/cli/live.rs
+++ b/src/cli/live.rs
@@ -1,5 +1,5 @@
-//! `quartzcleat expect --live`: runs each scenario with real limiter processes and fakes on loopback, too, and
-//! compares the verdict with that of the simulation. Timing may differ, verdicts may not.
+//! `quartzcleat expect --live`: also runs each scenario with real limiter processes and fakes on loopback, and compares
+//! the verdict with that of the simulation. Timing may differ; verdicts may not.
 
 mod report;
 
@@ -18,19 +18,20 @@
 use std::process::ExitCode;
 use std::time::Instant;
 
-/// On sockets the fakes do not know the order of what happens within this time.
-pub(super) const TIME_TOLERANCE: u64 = 50_000_000;
-/// The most variants of one scenario that are run: one for each option that the scenario leaves open.
+/// Interval, in nanoseconds, within which the fakes cannot tell the order of events on sockets.
+pub(super) const TIME_TOLERANCE_NANOS: u64 = 50_000_000;
+/// Maximum number of variants that are run per scenario. A variant fixes an option at each choice that the scenario
+/// leaves open.
 const MAX_VARIANTS: usize = 3;
-/// Runs mostly wait, so that more of them than there are cores can run concurrently.
+/// Number of concurrent live runs if none is given. Runs mostly wait, so there may be more of them than cores.
 const DEFAULT_JOBS: usize = 6;
 
-/// The exit code where verdicts differ.
+/// Exit code if verdicts differ.
 const EXIT_DIFFERS: u8 = 1;
-/// The exit code where nothing could be compared, or not all.
+/// Exit code if some or all comparisons could not be made.
 const EXIT_NOT_COMPARED: u8 = 2;
 
-/// Counts of a run.
+/// Requests and attempts counted in a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 struct Counts {
     #[serde(rename = "asked")]
@@ -61,7 +62,7 @@
     }
 }
 
-/// One variant of a scenario in the simulation and on sockets. Its serialized form is that of the JSON report.
+/// The results of one scenario variant in the simulation and on sockets, serialized into the JSON report.
 #[derive(Clone, Debug, Serialize)]
 struct Comparison {
     file: String,
@@ -71,15 +72,15 @@
     #[serde(rename = "world")]
     simulated: Counts,
     live: Counts,
-    /// What fails in the simulation.
+    /// Description of the failure in the simulation; `None` if the expectation held.
     #[serde(rename = "world_fails")]
     simulated_failure: Option<String>,
-    /// What fails on sockets.
+    /// Description of the failure on sockets; `None` if the expectation held or there was no live run.
     #[serde(rename = "live_fails")]
     live_failure: Option<String>,
-    /// Why the live run did not come about.
+    /// The reason why the live run could not be made; `None` if it was made.
     fault: Option<String>,
-    /// The timeline of the live run, where the verdicts differ.
+    /// Timeline of the live run; empty if the verdicts agree.
     #[serde(rename = "story")]
     timeline: Vec<String>,
 }
@@ -91,7 +92,7 @@
     }
 }
 
-/// A variant that is to be compared.
+/// A scenario variant to be compared.
 struct VariantTask<'a> {
     task: &'a CheckTask,
     /// The expectation, with the variant set in its scenario.
@@ -100,8 +101,8 @@
 }
 
 impl VariantTask<'_> {
-    /// The moment of the last step.
-    fn length(&self) -> Option<u64> {
+    /// Returns the time of the last step, in nanoseconds.
+    fn last_step_at(&self) -> Option<u64> {
         let steps = self.compiled.scenario.steps.iter();
         steps.filter_map(|step| step.moments.last()).max().copied()
     }
@@ -133,7 +134,7 @@
             variant: self.variant,
             simulated: Counts::from_records(&simulated),
             live: Counts::default(),
-            simulated_failure: failure(compiled, &simulated, 0),
+            simulated_failure: describe_failure(compiled, &simulated, 0),
             live_failure: None,
             fault: None,
             timeline: Vec::new(),
@@ -142,7 +143,8 @@
             Err(error) => comparison.fault = Some(error.to_string()),
             Ok(records) => {
                 comparison.live = Counts::from_records(&records);
-                comparison.live_failure = failure(compiled, &records, TIME_TOLERANCE);
+                comparison.live_failure =
+                    describe_failure(compiled, &records, TIME_TOLERANCE_NANOS);
                 if !comparison.agrees() {
                     comparison.timeline = timeline::render(&compiled.scenario.processes, &records);
                 }
@@ -152,8 +154,8 @@
     }
 }
 
-/// What fails in a run, where something does.
-fn failure(
+/// Returns the description of a run's failure; `None` if the expectation held.
+fn describe_failure(
     compiled: &CompiledExpectation,
     records: &[Record],
     time_tolerance: u64,
@@ -162,7 +164,7 @@
     Some(failure.violation.description)
 }
 
-/// Compares all that options name and prints the report.
+/// Compares all selected expectations, prints the report and returns the exit code.
 pub(super) fn run(options: &Options, format: Format, verbose: bool) -> ExitCode {
     let started = Instant::now();
     let program = match std::env::current_exe() {
@@ -185,7 +187,7 @@
     report.exit_code()
 }
 
-/// The variants of all expectations, the longest first, so that none is left alone at the end.
+/// Returns the variants of all expectations, the longest first, so that the last ones to run are short.
 fn plan_variants<'a>(tasks: &'a [CheckTask], faults: &mut Faults) -> Vec<VariantTask<'a>> {
     let mut variants = Vec::new();
     for task in tasks {
@@ -205,11 +207,11 @@
             Err(found) => faults.0.extend(found.0),
         }
     }
-    variants.sort_by_key(|variant| Reverse(variant.length()));
+    variants.sort_by_key(|variant| Reverse(variant.last_step_at()));
     variants
 }
 
-/// How many variants a scenario has.
+/// Returns the number of variants of a scenario, in `1..=MAX_VARIANTS`.
 fn count_variants(compiled: &CompiledExpectation) -> usize {
     let scenario = &compiled.scenario;
     let moments = scenario.steps.iter().map(|step| step.moments.len()).max();
@@ -226,7 +228,7 @@
         .clamp(1, MAX_VARIANTS)
 }
 
-/// Runs all variants, several concurrently.
+/// Runs and compares all variants, `jobs` of them concurrently; 0 means [`DEFAULT_JOBS`].
 fn compare_all(variants: &[VariantTask<'_>], jobs: usize, program: &Path) -> Vec<Comparison> {
     let folder = run_folder();
     let compare = |variant: &VariantTask<'_>| variant.compare(program, &folder);
@@ -235,16 +237,16 @@
         .build();
     let mut comparisons: Vec<Comparison> = match pool {
         Ok(pool) => pool.install(|| variants.par_iter().with_max_len(1).map(compare).collect()),
-        // Without threads of its own the comparison is slower, not wrong.
+        // Without a thread pool the comparisons run sequentially, with the same results.
         Err(_) => variants.iter().map(compare).collect(),
     };
-    // A folder that cannot be removed is left to the system's own cleaning of temporary files.
+    // Best effort: the system cleans up its temporary files.
     let _ = std::fs::remove_dir_all(&folder);
     comparisons.sort_by(|a, b| (&a.file, a.line, a.variant).cmp(&(&b.file, b.line, b.variant)));
     comparisons
 }
 
-/// A temporary folder of this process.
+/// Returns the path of this process's temporary folder.
 pub(super) fn run_folder() -> PathBuf {
     std::env::temp_dir().join(format!("quartzcleat-live-{}", std::process::id()))
 }
--- a/src/cli/live/report.rs
+++ b/src/cli/live/report.rs
@@ -1,15 +1,16 @@
-//! The report of a comparison, in each format.
+//! The report of the comparisons, in each output format.
 
 use super::{Comparison, Counts, EXIT_DIFFERS, EXIT_NOT_COMPARED};
 use crate::cli::Format;
 use quartzcleat_expectations::report::{junit_case, junit_suite};
 use std::process::ExitCode;
 
-/// All comparisons.
+/// The results of a live check.
 pub(super) struct LiveReport {
     pub(super) comparisons: Vec<Comparison>,
     /// Faults of the files, one line each.
     pub(super) faults: Vec<String>,
+    /// Elapsed time of the whole check.
     pub(super) seconds: f64,
 }
 
@@ -23,7 +24,11 @@
     }
 
     pub(super) fn exit_code(&self) -> ExitCode {
-        if self.comparisons.iter().any(|one| !one.agrees()) {
+        if self
+            .comparisons
+            .iter()
+            .any(|comparison| !comparison.agrees())
+        {
             ExitCode::from(EXIT_DIFFERS)
         } else if self.comparisons.is_empty() || !self.faults.is_empty() {
             ExitCode::from(EXIT_NOT_COMPARED)
@@ -54,8 +59,8 @@
         lines.push(format!(
             "{} live runs: {} agree with the simulation's verdict, {} of them in every count too; {:.1} s",
             self.comparisons.len(),
-            count(|one| one.agrees()),
-            count(|one| one.simulated == one.live),
+            count(|comparison| comparison.agrees()),
+            count(|comparison| comparison.simulated == comparison.live),
             self.seconds
         ));
         lines.join("\n") + "\n"
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,12 +1,13 @@
-//! The command line: the only place where errors become text and exit codes. Without a command the program serves, as
-//! the platform starts it.
+//! The command line: the only place where errors become text and exit codes.
+//!
+//! Without a command the program serves, which is how the platform starts it.
 
 pub mod check;
 pub mod demo;
 pub mod expect;
 pub mod live;
 pub mod serve;
-pub mod used;
+pub mod usage;
 
 use clap::{Parser, Subcommand, ValueEnum};
 use std::path::PathBuf;
@@ -36,7 +37,7 @@
     command: Option<Command>,
 }
 
-/// The commands. The help of each one is the documentation of its type.
+/// The subcommands. The doc comment of each argument type is the help text of its command.
 #[derive(Debug, Subcommand)]
 enum Command {
     /// Serve; the same as no command.
@@ -45,10 +46,10 @@
     Expect(Box<expect::Expect>),
     Demo(demo::Demo),
     #[command(alias = "use")]
-    Usage(used::Used),
+    Usage(usage::Usage),
 }
 
-/// The format of a report.
+/// The output format of a report.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, ValueEnum)]
 pub enum Format {
     /// Text for people.
@@ -61,21 +62,21 @@
 }
 
 impl Cli {
-    /// Runs the command.
+    /// Runs the selected command and returns its exit code.
     pub fn run(self) -> ExitCode {
         match self.command {
             None | Some(Command::Serve) => serve::run(self.config.as_deref()),
             Some(Command::Check(check)) => check.run(self.config.as_deref()),
             Some(Command::Expect(expect)) => expect.run(),
             Some(Command::Demo(demo)) => demo.run(),
-            Some(Command::Usage(used)) => used.run(),
+            Some(Command::Usage(usage)) => usage.run(),
         }
     }
 }
 
-/// Prints a report.
+/// Writes a report to standard output.
 pub(crate) fn print(text: &str) {
     use std::io::Write as _;
-    // A reader that has closed the pipe does not change the command's result.
+    // The exit code does not depend on whether the reader has closed the pipe.
     let _ = std::io::stdout().lock().write_all(text.as_bytes());
 }
--- a/src/cli/serve.rs
+++ b/src/cli/serve.rs
@@ -1,4 +1,4 @@
-//! `quartzcleat serve`: reads the configuration, begins logging, and runs the limiter until it is asked to end.
+//! `quartzcleat serve`: reads the configuration, initializes logging, and runs the limiter until it is asked to shut down.
 
 use crate::logging::{self, LoggingError};
 use crate::net::{self, config, StartError};
@@ -8,15 +8,15 @@
 use std::process::ExitCode;
 use thiserror::Error;
 
-/// Why the product configuration cannot be used.
+/// The reason why the product configuration cannot be used.
 #[derive(Debug, Error)]
 pub enum ProductConfigError {
     /// The file cannot be read.
     #[error("{}: cannot read: {source}", path.display())]
     Read {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The cause.
+        /// The underlying I/O error.
         source: io::Error,
     },
     /// The file has faults, one line each.
@@ -24,7 +24,7 @@
     Faults(#[from] Faults),
 }
 
-/// Why the program cannot serve.
+/// The reason why the limiter cannot serve.
 #[derive(Debug, Error)]
 enum ServeError {
     #[error(transparent)]
@@ -37,10 +37,10 @@
     Start(#[from] StartError),
 }
 
-/// Reads the product configuration; without a file, defaults apply.
+/// Reads the product configuration, or returns the defaults if `path` is `None`.
 ///
 /// # Errors
-/// Fails where the file cannot be read or has faults.
+/// Returns an error if the file cannot be read or has faults.
 pub fn read_product_config(path: Option<&Path>) -> Result<Product, ProductConfigError> {
     let Some(path) = path else {
         return Ok(Product::default());
@@ -53,7 +53,7 @@
     Ok(product)
 }
 
-/// Serves until the process is asked to end.
+/// Serves until the process is asked to shut down, and returns the exit code.
 #[must_use]
 pub fn run(product_config: Option<&Path>) -> ExitCode {
     match serve(product_config) {
@@ -67,7 +67,7 @@
 
 fn serve(product_config: Option<&Path>) -> Result<(), ServeError> {
     let product = read_product_config(product_config)?;
-    logging::begin(&product.log)?;
+    logging::init(&product.log)?;
     let platform = config::from_environment()?;
     let config = config::Config {
         metrics_interval: product.metrics_interval,
--- a/src/cli/used.rs
+++ b/src/cli/usage.rs
@@ -1,4 +1,4 @@
-//! `quartzcleat usage`: the usage of each customer in a sink.
+//! `quartzcleat usage`: adds up the usage of each customer in a sink.
 
 use super::{print, Format};
 use crate::net::usage_export::{read_sink, read_spools};
@@ -10,10 +10,10 @@
 use std::process::ExitCode;
 use thiserror::Error;
 
-/// The exit code where batches are missing or in conflict.
+/// Exit code if batches are missing or a batch has conflicting contents.
 const EXIT_INCOMPLETE: u8 = 1;
 
-/// The exit code where a folder cannot be read.
+/// Exit code if a folder cannot be read.
 const EXIT_UNREADABLE: u8 = 2;
 
 const MILLIUNITS_PER_UNIT: f64 = 1_000.0;
@@ -23,7 +23,7 @@
 /// A batch counts once, even if several files of the sink contain it. Exit code 1: batches are missing, or a batch has
 /// two contents; 2: a folder cannot be read.
 #[derive(Debug, Args)]
-pub struct Used {
+pub struct Usage {
     /// The sink's folder.
     sink: PathBuf,
     /// Folders of spools whose remaining usage is counted too: those of limiters that are removed or stopped.
@@ -34,7 +34,7 @@
     format: Format,
 }
 
-/// A folder that cannot be read.
+/// A sink or spool folder that cannot be read.
 #[derive(Debug, Error)]
 #[error("{folder}: {source}", folder = folder.display())]
 struct UnreadableFolder {
@@ -51,7 +51,7 @@
     }
 }
 
-impl Used {
+impl Usage {
     /// Prints the report and returns the exit code.
     pub fn run(self) -> ExitCode {
         let report = match self.read() {
@@ -100,7 +100,7 @@
         let executed = to_units(usage.executed_milliunits);
         let uncertain = to_units(usage.uncertain_milliunits);
         let attempts = usage.executed_attempts;
-        // Writing to a string cannot fail, here and below.
+        // Writing to a string cannot fail.
         let _ = writeln!(
             text,
             "{customer:016x} {executed:>14.3} {uncertain:>14.3} {attempts:>10}"
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
-//! A quota-keeping request limiter: the decisions, sans I/O (see [`choice::DecisionEngine`] and, for its types,
-//! [`api`]), and the program round them ([`net`]).
+//! A quota-keeping request limiter: the sans-I/O decision engine ([`choice::DecisionEngine`], with its types in [`api`])
+//! and the program that runs it ([`net`]).
 
-/// The decision module, by the name that its tests know it by.
+/// The sans-I/O decision engine.
 pub use quartzcleat_decision as choice;
 pub use quartzcleat_decision::api;
 
@@ -10,7 +10,7 @@
 pub mod net;
 pub mod simulator;
 
-/// The examples of the README, compiled and run with the tests.
+/// Compiles and runs the code examples of the README as doctests.
 #[doc = include_str!("../README.md")]
 #[cfg(doctest)]
 pub struct Readme;
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -1,5 +1,7 @@
-//! Logging with `tracing`: lines for people or JSON to standard error, filtered by level and target. Each call site is
-//! rate-limited, so that a repeated fault does not fill the part of standard error that the platform keeps.
+//! Logging with `tracing` to standard error, as text or JSON, filtered by level and target.
+//!
+//! Each call site is rate-limited, because the platform keeps only a part of standard error and a repeated fault would
+//! displace everything else in it.
 
 use crate::net::metrics;
 use quartzcleat_config::product::{LogConfig, LogFormat};
@@ -20,36 +22,36 @@
 #[cfg(test)]
 mod tests;
 
-/// Call sites are distinguished by so many slots; two that share a slot share its allowance.
+/// Number of hash slots for call sites. Call sites that hash to the same slot share its burst.
 const CALL_SITE_SLOTS: usize = 256;
 
-/// Why logging cannot begin.
+/// The reason why logging cannot be initialized.
 #[derive(Debug, Error)]
 pub enum LoggingError {
-    /// The filter of the configuration is malformed.
+    /// The configured filter is malformed.
     #[error("log.filter: {0}")]
     Filter(#[from] ParseError),
-    /// Logging has begun already.
+    /// A global subscriber is already installed.
     #[error("cannot log: {0}")]
-    Begin(#[from] TryInitError),
+    AlreadyInitialized(#[from] TryInitError),
 }
 
-/// The lines of one call site in its current window.
+/// The counts of one call-site slot in its current window.
 #[derive(Default)]
 struct CallSite {
-    /// The start of the window, in milliseconds since the limiter's start.
+    /// Start of the window, in milliseconds since [`RateLimiter::start`].
     window_start_ms: AtomicU64,
-    /// Lines since then, suppressed ones included.
+    /// Lines in this window, including suppressed ones.
     lines: AtomicU64,
-    /// Lines suppressed in the window before, to be reported with the next line.
+    /// Lines suppressed in the previous window, reported with the next line that is written.
     suppressed: AtomicU64,
 }
 
-/// Limits the lines of each call site in a window of time.
+/// Limits the lines that each call site writes per time window.
 struct RateLimiter {
     start: Instant,
     window_ms: u64,
-    /// The lines of one call site in a window.
+    /// Lines that one call site may write per window.
     burst: u64,
     call_sites: Vec<CallSite>,
 }
@@ -73,7 +75,7 @@
         &self.call_sites[hash % CALL_SITE_SLOTS]
     }
 
-    /// Whether a call site may write one more line now.
+    /// Counts a line of a call site and returns whether it may be written.
     fn is_allowed(&self, call_site: &CallSite, now_ms: u64) -> bool {
         let window_end_ms = call_site.window_start_ms.load(Relaxed) + self.window_ms;
         if now_ms < window_end_ms && call_site.lines.load(Relaxed) > 0 {
@@ -87,7 +89,7 @@
     }
 }
 
-/// The rate limiter as a filter of events.
+/// Adapts [`RateLimiter`] to a [`Filter`] of events.
 struct RateLimitFilter(Arc<RateLimiter>);
 
 impl<S: Subscriber> Filter<S> for RateLimitFilter {
@@ -96,7 +98,7 @@
     }
 
     fn event_enabled(&self, event: &Event<'_>, _: &Context<'_, S>) -> bool {
-        // Metrics are logged at an interval of their own.
+        // Metrics are already limited by their own interval.
         if event.metadata().target() == metrics::TARGET {
             return true;
         }
@@ -106,24 +108,24 @@
     }
 }
 
-/// Writes an event, and behind it how many of its call site were suppressed before.
-struct SuppressionReport<F> {
-    format: F,
+/// Formats an event and appends how many lines of its call site were suppressed in the previous window.
+struct SuppressionReporter<F> {
+    inner: F,
     rate_limiter: Arc<RateLimiter>,
-    form: LogFormat,
+    log_format: LogFormat,
 }
 
-impl<F> SuppressionReport<F> {
-    fn new(format: F, rate_limiter: Arc<RateLimiter>, form: LogFormat) -> Self {
-        SuppressionReport {
-            format,
+impl<F> SuppressionReporter<F> {
+    fn new(inner: F, rate_limiter: Arc<RateLimiter>, log_format: LogFormat) -> Self {
+        SuppressionReporter {
+            inner,
             rate_limiter,
-            form,
+            log_format,
         }
     }
 }
 
-impl<S, N, F> FormatEvent<S, N> for SuppressionReport<F>
+impl<S, N, F> FormatEvent<S, N> for SuppressionReporter<F>
 where
     S: Subscriber + for<'a> LookupSpan<'a>,
     N: for<'a> FormatFields<'a> + 'static,
@@ -137,11 +139,11 @@
     ) -> fmt::Result {
         let call_site = self.rate_limiter.call_site(event.metadata());
         let suppressed = call_site.suppressed.swap(0, Relaxed);
-        self.format.format_event(context, writer.by_ref(), event)?;
+        self.inner.format_event(context, writer.by_ref(), event)?;
         if suppressed == 0 {
             return Ok(());
         }
-        match self.form {
+        match self.log_format {
             LogFormat::Human => {
                 writeln!(
                     writer,
@@ -159,11 +161,11 @@
     }
 }
 
-/// Begins logging.
+/// Installs the global subscriber.
 ///
 /// # Errors
-/// Fails where the filter is malformed or logging has begun already.
-pub fn begin(log: &LogConfig) -> Result<(), LoggingError> {
+/// Returns an error if the filter is malformed or a global subscriber is already installed.
+pub fn init(log: &LogConfig) -> Result<(), LoggingError> {
     let filter = EnvFilter::try_new(&log.filter)?;
     let registry = tracing_subscriber::registry().with(filter);
     let rate_limiter = Arc::new(RateLimiter::new(log));
@@ -176,13 +178,13 @@
         .with_ansi(false);
     match log.format {
         LogFormat::Human => {
-            let report = SuppressionReport::new(format, rate_limiter, log.format);
-            let layer = layer.event_format(report).with_filter(rate_limit);
+            let formatter = SuppressionReporter::new(format, rate_limiter, log.format);
+            let layer = layer.event_format(formatter).with_filter(rate_limit);
             registry.with(layer).try_init()?;
         }
         LogFormat::Json => {
-            let report = SuppressionReport::new(format.json(), rate_limiter, log.format);
-            let layer = layer.json().event_format(report).with_filter(rate_limit);
+            let formatter = SuppressionReporter::new(format.json(), rate_limiter, log.format);
+            let layer = layer.json().event_format(formatter).with_filter(rate_limit);
             registry.with(layer).try_init()?;
         }
     }
--- a/src/logging/tests.rs
+++ b/src/logging/tests.rs
@@ -1,10 +1,10 @@
-//! The rate limit of a call site.
+//! Tests of the rate limit per call site.
 
 use super::*;
 use std::time::Duration;
 
 #[test]
-fn call_site_writes_its_burst_and_reports_what_was_suppressed() {
+fn call_site_writes_at_most_its_burst_per_window_and_counts_suppressed_lines() {
     let log = LogConfig {
         window: Duration::from_secs(10),
         burst: 3,
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `quartzcleat`: a limiter when it is started without arguments, and the commands of operators.
+//! The `quartzcleat` program: runs a limiter without arguments, and the operators' commands otherwise.
 
 use clap::Parser;
 use quartzcleat::cli::Cli;
--- a/src/net/leases/clock.rs
+++ b/src/net/leases/clock.rs
@@ -1,16 +1,17 @@
-//! The monotonic clock that leases are measured by.
+//! The monotonic clock by which lease durations are measured.
 
 use quartzcleat_config::lease::ClockFault;
 use quartzcleat_lease::Nanos;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The time since this process started, in the process's own rate.
+/// A monotonic clock that counts from its creation, with an optional rate error.
 ///
-/// A test may configure a wrong rate. Every decision of this process then sees it, which a clock that is changed from
-/// outside the process could not achieve.
+/// Tests configure a rate error to simulate clock drift. It is injected here because the clock of a single process cannot
+/// be changed from outside, and every decision of this process must see the same rate.
 pub(super) struct LeaseClock {
     origin: Instant,
+    /// Nanoseconds that this clock advances per nanosecond of the system's monotonic clock; 1.0 without a fault.
     rate: f64,
 }
 
@@ -26,7 +27,7 @@
         (self.origin.elapsed().as_nanos() as f64 * self.rate) as Nanos
     }
 
-    /// The instant at which this clock shows a time.
+    /// Returns the instant at which this clock shows `time`.
     pub(super) fn instant_at(&self, time: Nanos) -> Instant {
         self.origin + Duration::from_nanos((time as f64 / self.rate) as Nanos)
     }
--- a/src/net/leases/error.rs
+++ b/src/net/leases/error.rs
@@ -1,43 +1,43 @@
-//! Why leases cannot start.
+//! The errors of starting leases.
 
 use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Leases cannot start. The text names the configuration key that is concerned.
+/// The reason why leases cannot start. The message begins with the configuration key at fault.
 #[derive(Debug, Error)]
 pub enum LeaseError {
     /// The key file cannot be read.
     #[error("lease.key: cannot read {path}: {source}", path = path.display())]
     ReadKey {
-        /// The file.
+        /// Path of the key file.
         path: PathBuf,
-        /// The cause.
+        /// The underlying I/O error.
         source: io::Error,
     },
     /// The key file is empty.
     #[error("lease.key: {path} is empty; put some random bytes there", path = path.display())]
     EmptyKey {
-        /// The file.
+        /// Path of the key file.
         path: PathBuf,
     },
     /// This limiter's address cannot be bound.
     #[error("lease.limiters.{limiter}: cannot listen on {address}: {source}")]
     Bind {
-        /// This limiter's name.
+        /// Name of this limiter.
         limiter: String,
-        /// Its address.
+        /// The configured address of this limiter.
         address: SocketAddr,
-        /// The cause.
+        /// The underlying I/O error.
         source: io::Error,
     },
     /// The spool of the usage export cannot be written.
     #[error("lease.tasks.export.spool: {folder}: {source}", folder = folder.display())]
     OpenSpool {
-        /// The spool's folder.
+        /// Folder of the spool.
         folder: PathBuf,
-        /// The cause.
+        /// The underlying I/O error.
         source: io::Error,
     },
 }
--- a/src/net/leases/export.rs
+++ b/src/net/leases/export.rs
@@ -1,5 +1,5 @@
-//! The task that exports usage: it cuts batches of this limiter's usage and, while it holds the lease, writes the
-//! batches of all limiters to the sink.
+//! The usage export task: cuts batches of this limiter's usage and, while the lease is held, writes the batches of all
+//! limiters to the sink.
 
 use super::node::LeaseNode;
 use crate::net::peers::{DatagramKind, Peers};
@@ -10,35 +10,35 @@
 use std::rc::Rc;
 use tokio::time::sleep;
 
-/// How many of its own batches the exporter writes before it asks the other limiters for theirs.
+/// Maximum number of own batches written per interval before the other limiters are asked for theirs.
 const MAX_OWN_BATCHES: usize = 64;
 
-/// The time between two searches for spools of ended processes.
+/// Minimum time between two scans for spools of terminated processes, in nanoseconds.
 const ORPHAN_SCAN_INTERVAL: Nanos = 2_000_000_000;
 
-/// Whether this limiter may write to the sink.
+/// The state of this limiter's tenure, which is a period of holding the lease with the sink open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Tenure {
-    /// It holds the lease, and the sink is open.
+enum TenureState {
+    /// This limiter holds the lease, and the sink is open.
     Begun,
-    /// It does not hold the lease, or the sink cannot be read.
+    /// This limiter does not hold the lease, or the sink cannot be opened.
     NotHeld,
 }
 
-/// Whether the sink has a batch.
+/// The outcome of writing a batch to the sink.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum WriteOutcome {
-    /// It does.
+    /// The sink contains the batch.
     InSink,
-    /// The lease does not permit a write, or the write failed.
+    /// The lease did not permit the write, or the write failed.
     NotWritten,
 }
 
-/// The export of usage.
+/// The usage export of this limiter.
 pub(super) struct ExportTask {
     pub(super) node: Rc<LeaseNode>,
     pub(super) peers: Rc<Peers>,
-    /// The names of all limiters, by index.
+    /// Names of all limiters, by index.
     pub(super) limiters: Vec<String>,
     pub(super) task_index: usize,
     pub(super) task: Task,
@@ -59,16 +59,17 @@
             }
             self.usage_recorder.cut_batches();
             match self.begin_tenure() {
-                Tenure::Begun => {
+                TenureState::Begun => {
                     self.write_own_batches();
                     self.fetch_from_others();
                 }
-                Tenure::NotHeld => {}
+                TenureState::NotHeld => {}
             }
         }
     }
 
-    /// Handles a message of another limiter's export.
+    /// Handles a message from another limiter's usage export. A batch that is in the sink afterwards is acknowledged, and
+    /// the next one is fetched.
     pub(super) fn handle_message(&self, sender: u32, message: Message) {
         let Some(sender_name) = self.limiters.get(sender as usize) else {
             return;
@@ -94,16 +95,16 @@
         self.send(sender, &acknowledgement);
     }
 
-    /// Begins the tenure of the lease, where it is held.
-    fn begin_tenure(&self) -> Tenure {
+    /// Begins a tenure if the lease is held and this tenure has not begun yet.
+    fn begin_tenure(&self) -> TenureState {
         let Some(guard) = self.node.guard(self.task_index) else {
-            return Tenure::NotHeld;
+            return TenureState::NotHeld;
         };
         match self.exporter.begin_tenure(guard.token()) {
-            Ok(()) => Tenure::Begun,
+            Ok(()) => TenureState::Begun,
             Err(error) => {
                 tracing::warn!(task = self.task.name, %error, "sink cannot be read");
-                Tenure::NotHeld
+                TenureState::NotHeld
             }
         }
     }
@@ -130,7 +131,7 @@
         }
     }
 
-    /// Writes a batch to the sink, where the lease permits it.
+    /// Writes a batch to the sink if the lease permits it.
     fn write(&self, record: &SinkRecord) -> WriteOutcome {
         let Some(operation) = self.node.permit(self.task_index, &self.task) else {
             return WriteOutcome::NotWritten;
--- a/src/net/leases/heartbeat.rs
+++ b/src/net/leases/heartbeat.rs
@@ -1,4 +1,4 @@
-//! The task that sends heartbeats to a target over TCP, with the fencing token that the target checks.
+//! The heartbeat task: sends heartbeats over TCP to a target that checks their fencing token.
 
 use super::node::LeaseNode;
 use quartzcleat_config::lease::Task;
@@ -13,22 +13,23 @@
 #[cfg(test)]
 mod tests;
 
-/// The longest response of a target, in bytes.
+/// Maximum number of bytes read of a target's response.
 const MAX_RESPONSE_BYTES: u64 = 128;
 
 /// The response of a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Response {
-    /// The heartbeat was admitted.
+    /// The target admitted the heartbeat.
     Ok,
-    /// A later holder has sent a heartbeat before.
+    /// The target has already admitted a heartbeat of a later holder.
     Stale {
-        /// The highest token that the target has admitted.
+        /// The highest fencing token that the target has admitted.
         highest: FencingToken,
     },
 }
 
 impl Response {
+    /// Parses a response line; `None` if it is malformed.
     fn parse(line: &str) -> Option<Response> {
         let fields: Vec<&str> = line.split_whitespace().collect();
         match fields.as_slice() {
@@ -45,13 +46,13 @@
     }
 }
 
-/// The heartbeats of one task.
+/// The heartbeat loop of one task.
 pub(super) struct HeartbeatTask {
     node: Rc<LeaseNode>,
     task_index: usize,
     target: SocketAddr,
     task: Task,
-    /// The number of the last heartbeat.
+    /// Number of the last heartbeat, from one; 0 before the first.
     number: u64,
 }
 
--- a/src/net/leases/heartbeat/tests.rs
+++ b/src/net/leases/heartbeat/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the heartbeat's text form, which targets of other projects read and write.
+//! Tests of the heartbeat's wire format, which targets of other projects implement.
 
 use super::*;
 
@@ -11,12 +11,12 @@
 }
 
 #[test]
-fn request_keeps_its_text() {
+fn request_keeps_its_wire_format() {
     assert_eq!(to_request("beat", token(), 4), "ACT beat 9 2 3 4\n");
 }
 
 #[test]
-fn responses_are_parsed_and_anything_else_is_rejected() {
+fn responses_are_parsed_and_malformed_ones_are_rejected() {
     let stale = Response::Stale { highest: token() };
     for (line, response) in [
         ("OK\n", Some(Response::Ok)),
--- a/src/net/leases/mod.rs
+++ b/src/net/leases/mod.rs
@@ -1,7 +1,7 @@
-//! Leases on datagrams: the acceptor and the proposers of this limiter, and the tasks of a lease holder.
+//! Leases over datagrams: the acceptor and the proposers of this limiter, and the tasks of a lease holder.
 //!
-//! Without a section `lease` in our own configuration file nothing here runs. `quartzcleat_lease` decides; this module
-//! carries messages and time to it, and carries out the tasks of a lease holder.
+//! Nothing here runs without a section `lease` in the product configuration. The protocol is that of the sans-I/O crate
+//! `quartzcleat_lease`; this module supplies it with messages and time, and runs the tasks of a lease holder.
 
 mod clock;
 mod error;
--- a/src/net/leases/node.rs
+++ b/src/net/leases/node.rs
@@ -16,25 +16,25 @@
 
 const NANOS_PER_MILLISECOND: Nanos = 1_000_000;
 
-/// The stagger delays of all ranks fit into a lease, with this many steps in it.
+/// Number of stagger delay steps per lease duration. The delays of all ranks fit into one lease.
 const STAGGER_STEPS_PER_LEASE: Nanos = 32;
 
-/// The pause between two checks for operations in progress, before a lease is released.
+/// Interval at which [`LeaseNode::release_all`] checks whether the operations in progress have ended.
 const OPERATIONS_END_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// The leases of this process.
+/// The lease acceptor and proposers of this process.
 pub(super) struct LeaseNode {
     clock: LeaseClock,
     peers: Rc<Peers>,
-    /// The indices of the limiters that are acceptors.
+    /// Indices of the limiters that are acceptors.
     acceptors: Vec<u32>,
     acceptor: RefCell<Acceptor>,
-    /// One proposer for each task.
+    /// One proposer per task, in the order of the configuration.
     proposers: RefCell<Vec<Proposer>>,
-    /// The token of each task's lease when it was last logged.
+    /// Token of each task's lease when [`LeaseNode::log_changes`] last ran; `None` if the lease was not held.
     logged_tokens: RefCell<Vec<Option<FencingToken>>>,
     operations_in_progress: Cell<usize>,
-    /// A proposer's deadline may have changed.
+    /// Notified when a proposer's deadline may have changed.
     deadline_changed: Notify,
 }
 
@@ -73,12 +73,13 @@
         self.deadline_changed.notified().await;
     }
 
-    /// The guard of a task's lease, where it is held.
+    /// Returns the guard of a task's lease; `None` if the lease is not held.
     pub(super) fn guard(&self, task_index: usize) -> Option<Guard> {
         self.proposers.borrow()[task_index].guard(self.now())
     }
 
-    /// Permits an operation of a task, where its lease is held and lasts for long enough.
+    /// Permits an operation of a task. Returns `None` if the lease is not held or expires before the operation's maximum
+    /// duration has passed.
     pub(super) fn permit(&self, task_index: usize, task: &Task) -> Option<PermittedOperation> {
         let now = self.now();
         let guard = self.proposers.borrow()[task_index].guard(now)?;
@@ -96,7 +97,7 @@
         self.proposers.borrow_mut()[task_index].handle_stale_token(self.now(), highest);
     }
 
-    /// Begins rounds that are due, and returns when the next one is.
+    /// Begins the rounds that are due and returns the time of the next deadline; [`Nanos::MAX`] if there is none.
     pub(super) fn propose(&self, now: Nanos) -> Nanos {
         let requests: Vec<Message> = self
             .proposers
@@ -114,11 +115,11 @@
             .unwrap_or(Nanos::MAX)
     }
 
-    /// Handles a message of another limiter or of this one.
+    /// Handles a message from another limiter or from this one. Drops it if the sender may not send it.
     pub(super) fn handle_message(&self, sender: u32, message: &Message) {
         match message.body {
             Body::Prepare | Body::Propose | Body::Release => {
-                // Only a proposer itself may use its ballots.
+                // A ballot may only be used by the proposer that it names.
                 if message.ballot.proposer == sender {
                     self.handle_request(sender, message);
                 } else {
@@ -135,7 +136,7 @@
         }
     }
 
-    /// Releases all leases once the operations in progress have ended; no new ones are permitted meanwhile.
+    /// Releases all leases once the operations in progress have ended. No new operations are permitted meanwhile.
     pub(super) async fn release_all(&self) {
         let now = self.now();
         let releases: Vec<Message> = self
@@ -147,7 +148,7 @@
         while self.operations_in_progress.get() > 0 {
             sleep(OPERATIONS_END_POLL_INTERVAL).await;
         }
-        // The acceptors first, as the next proposer asks them.
+        // The acceptors come first because the next proposer needs their promises.
         self.send_to_acceptors(&releases);
         for limiter in 0..self.peers.limiter_count() {
             if self.acceptors.contains(&limiter) {
@@ -206,7 +207,7 @@
         }
     }
 
-    /// Sends a message; one to this limiter is handled at once.
+    /// Sends a message to a limiter. A message to this limiter is handled immediately, without the socket.
     fn send(&self, recipient: u32, message: &Message) {
         if recipient == self.peers.node_id() {
             return self.handle_message(recipient, message);
@@ -216,7 +217,7 @@
         self.peers.send(recipient, DatagramKind::Lease, &bytes);
     }
 
-    /// Logs leases that were acquired, or that were released or expired, since the last call.
+    /// Logs the leases that were acquired, released or expired since the last call.
     fn log_changes(&self) {
         let now = self.now();
         let proposers = self.proposers.borrow();
@@ -237,7 +238,7 @@
     }
 }
 
-/// A limiter's index in the order of the names. The configuration has checked that the name is there.
+/// Returns a limiter's index in the order of names. The configuration guarantees that the name exists.
 pub(super) fn index_of_limiter(lease: &Lease, name: &str) -> u32 {
     lease
         .limiters
@@ -273,13 +274,13 @@
         .collect()
 }
 
-/// A number that differs between the processes of this limiter: of the time in microseconds and the process's
-/// identifier.
+/// Returns a number that differs between the processes of this limiter, derived from the Unix time in units of 1024 ns and
+/// the process id.
 fn new_incarnation() -> u32 {
     (unix_time::now() >> 10) as u32 ^ std::process::id().rotate_left(16)
 }
 
-/// An operation in progress; dropping it ends the operation.
+/// A guard that counts an operation as in progress until it is dropped.
 pub(super) struct OperationInProgress<'a> {
     count: &'a Cell<usize>,
 }
--- a/src/net/leases/propose.rs
+++ b/src/net/leases/propose.rs
@@ -1,14 +1,15 @@
-//! The task that begins the proposers' rounds when they are due.
+//! The task that drives the proposers: begins their rounds when they are due.
 
 use super::node::LeaseNode;
 use quartzcleat_lease::Nanos;
 use std::rc::Rc;
 use tokio::time::sleep_until;
 
-/// The shortest time between two checks: a round that is due at once first lets the responses of the last one arrive.
+/// Minimum time between two checks, in nanoseconds. It lets responses to the last round arrive before the next round
+/// begins, even if that one is already due.
 const MIN_CHECK_INTERVAL: Nanos = 1_000_000;
 
-/// The longest time between two checks.
+/// Maximum time between two checks, in nanoseconds.
 const MAX_CHECK_INTERVAL: Nanos = 1_000_000_000;
 
 /// Runs until the process ends.
--- a/src/net/leases/receive.rs
+++ b/src/net/leases/receive.rs
@@ -1,4 +1,4 @@
-//! The task that receives datagrams and hands their messages to the leases or to the usage export.
+//! The task that receives datagrams and dispatches their messages to the leases or the usage export.
 
 use super::export::ExportTask;
 use super::node::LeaseNode;
--- a/src/net/leases/startup.rs
+++ b/src/net/leases/startup.rs
@@ -1,4 +1,4 @@
-//! Starting the leases: the key, the address, and the tasks.
+//! Startup of the leases: reads the key, binds the address and spawns the tasks.
 
 use super::error::LeaseError;
 use super::export::ExportTask;
@@ -18,13 +18,13 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// The pause between two attempts to bind the own address while the previous process still has it.
+/// Interval at which binding this limiter's address is retried while the previous process still uses it.
 const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Opens this limiter's usage recorder, where a task exports usage.
+/// Opens this limiter's usage recorder. Returns `None` if no task exports usage.
 ///
 /// # Errors
-/// [`LeaseError::OpenSpool`] where the spool cannot be written.
+/// Returns [`LeaseError::OpenSpool`] if the spool cannot be written.
 pub fn open_usage_recorder(lease: &Lease) -> Result<Option<Rc<UsageRecorder>>, LeaseError> {
     let spool = lease.tasks.iter().find_map(|task| match &task.action {
         TaskAction::ExportUsage { spool, .. } => Some(spool),
@@ -41,11 +41,14 @@
     Ok(Some(Rc::new(usage_recorder)))
 }
 
-/// Starts the acceptor, the proposers and the tasks. Where the previous process of this limiter still has its address,
-/// they start once it is free: the two processes are one acceptor, and the later one is silent as after any start.
+/// Starts the acceptor, the proposers and the tasks.
+///
+/// If the previous process of this limiter still uses the address, they start once it is free. The two processes count as
+/// one acceptor, and the new one begins with the silent period that follows any start.
 ///
 /// # Errors
-/// Where the key cannot be read or the address cannot be bound.
+/// Returns an error if the key cannot be read or is empty, or if the address cannot be bound for any reason other than
+/// being in use.
 pub async fn start(
     lease: Lease,
     shutdown: &Shutdown,
@@ -89,7 +92,7 @@
     Ok(SharedKey::new(&secret))
 }
 
-/// The inputs of a start, which wait until the address is bound.
+/// The inputs of a start, kept until the address is bound.
 struct Startup {
     lease: Lease,
     key: SharedKey,
@@ -144,7 +147,7 @@
         spawn(release_at_shutdown(node, self.phases));
     }
 
-    /// The export of the first task that exports usage. The spool was opened for that task.
+    /// Returns the usage export for the first task that exports usage, which is the task that the spool was opened for.
     fn export_task(&self, node: &Rc<LeaseNode>, peers: &Rc<Peers>) -> Option<Rc<ExportTask>> {
         let usage_recorder = self.usage_recorder.clone()?;
         let is_export = |task: &Task| matches!(task.action, TaskAction::ExportUsage { .. });
@@ -166,11 +169,11 @@
 }
 
 async fn release_at_shutdown(node: Rc<LeaseNode>, mut phases: watch::Receiver<Phase>) {
-    let is_ending = phases
+    let is_shutting_down = phases
         .wait_for(|phase| *phase != Phase::Serving)
         .await
         .is_ok();
-    if is_ending {
+    if is_shutting_down {
         node.release_all().await;
     }
 }
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -1,6 +1,8 @@
-//! Datagrams between limiters: one UDP socket, one envelope, fixed addresses from our own configuration file.
+//! Authenticated datagrams between limiters, over one UDP socket and between fixed addresses from the product
+//! configuration.
 //!
-//! It knows no subsystem beyond the kind of its datagrams. Without a section `lease` no socket is opened.
+//! This module distinguishes subsystems only by the kind of a datagram. Without a section `lease` in the configuration no
+//! socket is opened.
 
 use super::unix_time;
 use quartzcleat_lease::{open, seal, Envelope, EnvelopeError, SharedKey};
@@ -12,13 +14,12 @@
 #[cfg(test)]
 mod tests;
 
-/// The longest datagram that is read; a longer one is truncated and dropped.
+/// Size of the receive buffer. A longer datagram is truncated and dropped.
 const MAX_DATAGRAM_BYTES: usize = 1_200;
 
-/// How many sequence numbers of each sender are remembered to recognize repeated datagrams.
+/// Number of sequence numbers remembered per sender to detect repeated datagrams.
 const REMEMBERED_SEQUENCES: usize = 64;
 
-/// Sequence numbers start at the Unix time in microseconds.
 const NANOS_PER_MICROSECOND: u64 = 1_000;
 
 const LEASE_KIND: u8 = 1;
@@ -31,7 +32,7 @@
     Lease,
     /// Messages between the usage exporter and the spools.
     UsageExport,
-    /// A kind of another version.
+    /// A kind that this version does not know.
     Unknown(u8),
 }
 
@@ -53,25 +54,25 @@
     }
 }
 
-/// A datagram that was authenticated and is not a repetition.
+/// An authenticated datagram that was not received before.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Datagram {
     /// The subsystem that it belongs to.
     pub kind: DatagramKind,
-    /// The sender's index among all limiters.
+    /// Index of the sender among all limiters.
     pub sender: u32,
     /// The encoded message.
     pub payload: Vec<u8>,
 }
 
-/// Why a datagram was dropped.
+/// The reason why a datagram was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DropReason {
     /// Its length, its kind or its message is invalid.
     Malformed,
     /// Its version is not supported.
     UnsupportedVersion,
-    /// It was not made with the shared key, or its sender may not send it.
+    /// It was not sealed with the shared key, or its sender is unknown or may not send it.
     Unauthorized,
     /// It was received before.
     Repeated,
@@ -87,7 +88,7 @@
     }
 }
 
-/// How many datagrams were dropped for each reason.
+/// Numbers of dropped datagrams by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct DropCounts {
     malformed: u64,
@@ -108,53 +109,57 @@
     }
 }
 
-/// The socket to the other limiters.
+/// The socket that connects this limiter with the others.
 pub struct Peers {
     socket: UdpSocket,
     key: SharedKey,
+    /// Index of this limiter in `addresses`.
     node_id: u32,
+    /// Addresses of all limiters, this one included.
     addresses: Vec<SocketAddr>,
+    /// Sequence number of the last datagram that was sent.
     last_sequence: Cell<u64>,
-    /// The latest sequence numbers of each sender, the newest first.
+    /// Up to [`REMEMBERED_SEQUENCES`] sequence numbers by sender, the last received first.
     received_sequences: RefCell<BTreeMap<u32, VecDeque<u64>>>,
     drop_counts: Cell<DropCounts>,
 }
 
 impl Peers {
-    /// Binds the address of this limiter, which is the one at `node_id`.
+    /// Binds the socket to this limiter's address, which is the one at index `node_id`.
     ///
     /// # Errors
-    /// Where the socket cannot be bound.
+    /// Returns an error if the socket cannot be bound.
     pub async fn bind(
         key: SharedKey,
         node_id: u32,
         addresses: Vec<SocketAddr>,
     ) -> std::io::Result<Self> {
         let socket = UdpSocket::bind(addresses[node_id as usize]).await?;
-        // Greater than any of the previous process, provided that the system's clock was not set back.
-        let first_sequence = unix_time::now() / NANOS_PER_MICROSECOND;
+        // The Unix time in microseconds is greater than any sequence number of the previous process, unless the system clock
+        // was set back.
+        let initial_sequence = unix_time::now() / NANOS_PER_MICROSECOND;
         Ok(Peers {
             socket,
             key,
             node_id,
             addresses,
-            last_sequence: Cell::new(first_sequence),
+            last_sequence: Cell::new(initial_sequence),
             received_sequences: RefCell::default(),
             drop_counts: Cell::default(),
         })
     }
 
-    /// The index of this limiter.
+    /// Returns the index of this limiter among all limiters.
     pub fn node_id(&self) -> u32 {
         self.node_id
     }
 
-    /// How many limiters there are, this one included.
+    /// Returns the number of limiters, including this one.
     pub fn limiter_count(&self) -> u32 {
         self.addresses.len() as u32
     }
 
-    /// Sends a message to a limiter.
+    /// Sends a datagram to a limiter, without any guarantee of delivery. Does nothing if the recipient is unknown.
     pub fn send(&self, recipient: u32, kind: DatagramKind, payload: &[u8]) {
         let Some(address) = self.addresses.get(recipient as usize) else {
             return;
@@ -167,13 +172,13 @@
             sequence,
             payload,
         };
-        // A datagram may be lost anywhere on its way; both protocols repeat the messages that they need an answer to.
+        // Datagrams may be lost anyway; both protocols repeat the messages that need a response.
         let _ = self
             .socket
             .try_send_to(&seal(&self.key, &envelope), *address);
     }
 
-    /// Waits for the next valid datagram. Others are counted and dropped.
+    /// Waits for the next valid datagram. Invalid ones are counted and dropped.
     pub async fn receive(&self) -> Datagram {
         let mut buffer = [0; MAX_DATAGRAM_BYTES];
         loop {
@@ -208,10 +213,10 @@
         })
     }
 
-    /// Records a sequence number.
+    /// Records the sequence number of a received datagram.
     ///
     /// # Errors
-    /// It was received before.
+    /// Returns [`DropReason::Repeated`] if it is among the remembered ones.
     fn record_sequence(&self, sender: u32, sequence: u64) -> Result<(), DropReason> {
         let mut received = self.received_sequences.borrow_mut();
         let latest = received.entry(sender).or_default();
--- a/src/net/peers/tests.rs
+++ b/src/net/peers/tests.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-const WAIT: Duration = Duration::from_secs(5);
+const RECEIVE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Two limiters that know each other's addresses.
+/// Two limiters on loopback with each other's addresses.
 struct Pair {
     first: Peers,
     second: Peers,
@@ -28,7 +28,7 @@
 }
 
 impl Pair {
-    /// Sends bytes as they are to the second limiter.
+    /// Sends unsealed bytes to the second limiter.
     async fn send_raw(&self, bytes: &[u8]) {
         let socket = UdpSocket::bind("127.0.0.1:0").await.expect("loopback");
         let sent = socket.send_to(bytes, self.second.addresses[1]).await;
@@ -36,7 +36,7 @@
     }
 
     async fn receive(&self) -> Datagram {
-        timeout(WAIT, self.second.receive())
+        timeout(RECEIVE_TIMEOUT, self.second.receive())
             .await
             .expect("a datagram arrives")
     }
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn kinds_keep_their_numbers() {
+fn datagram_kinds_keep_their_wire_numbers() {
     for (kind, number) in [
         (DatagramKind::Lease, 1),
         (DatagramKind::UsageExport, 2),
@@ -67,7 +67,7 @@
 #[tokio::test(flavor = "current_thread")]
 async fn datagram_arrives_with_kind_sender_and_payload() {
     let pair = pair().await;
-    // The runtime learns only after a moment that a new socket is writable; datagrams sent before are lost.
+    // Datagrams are lost until the runtime has learned that the new socket is writable.
     let writable = pair.first.socket.writable().await;
     writable.expect("the socket is open");
     pair.first.send(1, DatagramKind::UsageExport, b"want");
@@ -85,7 +85,7 @@
     let mut unsupported = sealed(0, 1);
     unsupported[0] += 2;
     let mut forged = sealed(0, 1);
-    *forged.last_mut().expect("it has bytes") ^= 1;
+    *forged.last_mut().expect("the datagram is not empty") ^= 1;
     let unknown_sender = sealed(2, 1);
     for dropped in [b"torn".to_vec(), unsupported, forged, unknown_sender] {
         pair.send_raw(&dropped).await;
--- a/src/net/usage_export/append_file.rs
+++ b/src/net/usage_export/append_file.rs
@@ -1,4 +1,4 @@
-//! A file that lines are appended to.
+//! Appending of lines to a file.
 
 use std::cell::{Cell, RefCell};
 use std::fs::File;
@@ -7,7 +7,7 @@
 
 /// A file that lines are appended to.
 ///
-/// After a write that failed, the next line begins on a new line, so that a partial line corrupts no other.
+/// After a failed write the next append starts with a line break, so that a partial line does not corrupt the next one.
 pub(super) struct AppendFile {
     path: PathBuf,
     file: RefCell<File>,
@@ -15,7 +15,7 @@
 }
 
 impl AppendFile {
-    /// A file that is empty or ends with a complete line.
+    /// Wraps a file that is empty or ends with a complete line.
     pub(super) fn new(path: PathBuf, file: File) -> Self {
         AppendFile {
             path,
@@ -24,10 +24,10 @@
         }
     }
 
-    /// A file whose last line may be incomplete where there is one.
+    /// Wraps a file whose last line may be incomplete.
     ///
     /// # Errors
-    /// Where the file's length cannot be read.
+    /// Returns an error if the file's length cannot be read.
     pub(super) fn with_unknown_end(path: PathBuf, file: File) -> io::Result<Self> {
         let has_content = file.metadata()?.len() > 0;
         let append_file = AppendFile::new(path, file);
@@ -39,7 +39,7 @@
         &self.path
     }
 
-    /// Appends complete lines.
+    /// Appends one or more complete lines, each with its line break.
     pub(super) fn append(&self, lines: &str) -> io::Result<()> {
         let mut file = self.file.borrow_mut();
         if self.may_end_in_partial_line.get() {
@@ -51,7 +51,7 @@
         written
     }
 
-    /// Appends to another open file from now on, which has been renamed to this one's path.
+    /// Replaces the open file by another one, which has been renamed to the same path.
     pub(super) fn replace(&self, file: File) {
         self.file.replace(file);
     }
--- a/src/net/usage_export/exporter.rs
+++ b/src/net/usage_export/exporter.rs
@@ -1,4 +1,4 @@
-//! The exporter: the lease holder's writes to the sink.
+//! The exporter: writes batches to the sink on behalf of the lease holder.
 
 use super::append_file::AppendFile;
 use super::{read_sink, UsageRecorder, SINK_EXTENSION};
@@ -11,28 +11,30 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// Why a batch was not written.
+/// The reason why a batch was not written.
 #[derive(Debug, Error)]
 pub enum ExportError {
-    /// The operation belongs to another tenure.
+    /// The operation does not belong to the tenure that was last begun.
     #[error("the lease has changed hands")]
     TenureEnded,
-    /// The sink cannot be written.
+    /// The sink file cannot be written.
     #[error(transparent)]
     Write(#[from] io::Error),
 }
 
-/// A period in which this limiter has held the lease without a break.
+/// An uninterrupted period in which this limiter holds the lease, identified by its fencing token.
 struct Tenure {
     token: FencingToken,
+    /// The file in the sink that belongs to this tenure alone.
     file: AppendFile,
-    /// The content of all files of the sink.
+    /// The content of all sink files, as read at the beginning of the tenure, and the batches written since.
     sink: Sink,
 }
 
-/// Writes batches to the sink.
+/// A writer of batches to the sink.
 pub struct Exporter {
     folder: PathBuf,
+    /// The tenure that was last begun; `None` before the first.
     tenure: RefCell<Option<Tenure>>,
 }
 
@@ -45,10 +47,11 @@
         }
     }
 
-    /// Begins the tenure of a token, unless it has begun: reads the sink and opens the tenure's own file.
+    /// Begins the tenure of a token by reading the sink and opening the tenure's own file. Does nothing if that tenure is the
+    /// current one.
     ///
     /// # Errors
-    /// Where the sink cannot be read or written.
+    /// Returns an error if the sink cannot be read or written.
     pub fn begin_tenure(&self, token: FencingToken) -> io::Result<()> {
         let has_begun = self
             .tenure
@@ -70,13 +73,13 @@
         Ok(())
     }
 
-    /// Writes a batch, unless the sink has it.
+    /// Writes a batch unless the sink already contains it.
     ///
-    /// The operation shows that the lease is held. Should it expire meanwhile, the files of two tenures may contain the
-    /// batch; it counts once.
+    /// `operation` proves that the lease is held. If the lease expires during the write, the files of two tenures may
+    /// contain the batch, which then counts once.
     ///
     /// # Errors
-    /// Where the sink cannot be written, or the operation belongs to another tenure.
+    /// Returns an error if the sink cannot be written or the operation does not belong to the current tenure.
     pub fn write(
         &self,
         operation: PermittedOperation,
@@ -98,7 +101,7 @@
     }
 }
 
-/// The name of a tenure's file. The names sort in the order of the tenures.
+/// Returns the name of a tenure's file. Names sort in the order of tenures.
 fn file_name(token: FencingToken) -> String {
     let FencingToken {
         round,
--- a/src/net/usage_export/mod.rs
+++ b/src/net/usage_export/mod.rs
@@ -1,9 +1,9 @@
-//! Usage export on files: the spools of this limiter, and the sink that all limiters share.
+//! File storage of the usage export: the spools of this limiter, and the sink that all limiters share.
 //!
-//! Every limiter keeps a spool in a folder of its own ([`UsageRecorder`]). The lease holder of the export fetches
-//! batches from all limiters and appends them to its tenure's file in the sink ([`Exporter`]).
-//! `quartzcleat_usage_export` defines the lines that are written and their order, so that a process may end between any
-//! two steps without a batch being lost or counted twice.
+//! Every limiter process writes a spool in its limiter's own folder ([`UsageRecorder`]). The limiter that holds the export
+//! lease fetches batches from all limiters and appends them to its tenure's file in the sink ([`Exporter`]).
+//! `quartzcleat_usage_export` defines the lines and the order in which they are written, so that a process may end between
+//! any two steps without a batch being lost or counted twice.
 
 mod append_file;
 mod exporter;
@@ -20,10 +20,10 @@
 
 use std::path::Path;
 
-/// The file name extension of spools.
+/// File name extension of spools.
 const SPOOL_EXTENSION: &str = "spool";
 
-/// The file name extension of the sink's files.
+/// File name extension of sink files.
 const SINK_EXTENSION: &str = "used";
 
 fn has_extension(path: &Path, extension: &str) -> bool {
--- a/src/net/usage_export/protocol.rs
+++ b/src/net/usage_export/protocol.rs
@@ -1,19 +1,19 @@
-//! The handling of a message of the export.
+//! Handling of the usage export's messages.
 
 use super::UsageRecorder;
 use quartzcleat_usage_export::{Message, SinkRecord};
 
-/// The effect of a message.
+/// The action that a handled message requires.
 pub enum MessageEffect {
-    /// This response is sent back.
+    /// Send this response to the sender.
     Respond(Message),
-    /// The exporter writes this batch to the sink.
+    /// Write this batch to the sink.
     Write(SinkRecord),
-    /// Nothing.
+    /// No action.
     None,
 }
 
-/// Handles a message of the limiter with the name `sender`.
+/// Handles a message from the limiter named `sender` and returns the required action.
 pub fn handle_message(
     usage_recorder: &UsageRecorder,
     sender: &str,
@@ -26,7 +26,7 @@
             }
             None => MessageEffect::None,
         },
-        // A limiter reports only its own usage.
+        // A limiter may report only its own usage; a batch of another source is ignored.
         Message::Batch { source, batch } if source.name == sender => {
             MessageEffect::Write(SinkRecord { source, batch })
         }
--- a/src/net/usage_export/reader.rs
+++ b/src/net/usage_export/reader.rs
@@ -1,4 +1,4 @@
-//! Reading of whole folders: the files of a sink, and the spools of any limiter.
+//! Reading of sink folders and spool folders.
 
 use super::{has_extension, SINK_EXTENSION, SPOOL_EXTENSION};
 use quartzcleat_usage_export::{Sink, Spool};
@@ -6,13 +6,13 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// The index of the limiter's name among the fields of a spool's header.
+/// Index of the limiter's name among the space-separated fields of a spool header.
 const HEADER_NAME_FIELD: usize = 2;
 
 /// Reads all files of a sink.
 ///
 /// # Errors
-/// Where the folder or one of the files cannot be read.
+/// Returns an error if the folder or one of the files cannot be read.
 pub fn read_sink(folder: &Path) -> io::Result<Sink> {
     let mut paths = files_with_extension(folder, SINK_EXTENSION)?;
     paths.sort();
@@ -23,10 +23,11 @@
     Ok(sink)
 }
 
-/// Reads all spools of a folder, whether or not a process holds them. Files that are no spools are skipped.
+/// Reads all spools of a folder, including those that a running process has locked. Files with an invalid header are
+/// skipped.
 ///
 /// # Errors
-/// Where the folder or one of the files cannot be read.
+/// Returns an error if the folder or one of the files cannot be read.
 pub fn read_spools(folder: &Path) -> io::Result<Vec<Spool>> {
     let mut spools = Vec::new();
     for path in files_with_extension(folder, SPOOL_EXTENSION)? {
--- a/src/net/usage_export/recorder.rs
+++ b/src/net/usage_export/recorder.rs
@@ -1,4 +1,4 @@
-//! The usage recorder: the spool of this process, and the spools of earlier processes of this limiter.
+//! The usage recorder: the spool of this process and those of previous processes of the same limiter.
 
 use super::append_file::AppendFile;
 use super::{has_extension, SPOOL_EXTENSION};
@@ -13,17 +13,17 @@
 use std::io::{self, Write as _};
 use std::path::{Path, PathBuf};
 
-/// The file name extension of a compacted spool until it replaces the old one.
+/// File name extension of a compacted spool that has not replaced the original yet.
 const DRAFT_EXTENSION: &str = "draft";
 
-/// A spool and its file, which stays locked for as long as its process runs.
+/// A spool and its file, which the process keeps locked until it ends.
 struct SpoolFile {
     spool: RefCell<Spool>,
     file: AppendFile,
 }
 
 impl SpoolFile {
-    /// Creates the spool of this process.
+    /// Creates and locks the spool file of this process.
     fn create(folder: &Path, source: Source) -> io::Result<SpoolFile> {
         fs::create_dir_all(folder)?;
         let process_id = std::process::id();
@@ -43,7 +43,7 @@
         })
     }
 
-    /// Appends lines. Usage that cannot be written is lost for the export, but not a reason to stop serving.
+    /// Appends lines. If that fails, the usage is lost to the export, but the limiter continues to serve.
     fn append(&self, lines: &str) {
         if let Err(error) = self.file.append(lines) {
             let path = self.file.path().display();
@@ -67,7 +67,7 @@
         })
     }
 
-    /// Replaces the file by a shorter one with the same content, where most of its lines are obsolete.
+    /// Replaces the file by a shorter one with equivalent content if most of its lines are obsolete.
     fn compact(&self) {
         let compacted = self.spool.borrow_mut().compact();
         let Some(text) = compacted else { return };
@@ -81,7 +81,7 @@
     }
 }
 
-/// Writes a file beside another one, locks it and renames it to the other one's path.
+/// Atomically replaces the file at `path`: writes a draft beside it, locks the draft and renames it to `path`.
 fn replace_file(path: &Path, text: &str) -> io::Result<File> {
     let draft = path.with_extension(DRAFT_EXTENSION);
     let mut file = OpenOptions::new()
@@ -95,21 +95,23 @@
     Ok(file)
 }
 
-/// The spools of this limiter.
+/// The usage spools of this limiter.
 pub struct UsageRecorder {
     limiter: String,
     folder: PathBuf,
+    /// The spool of this process.
     own: SpoolFile,
-    /// Spools of earlier processes, by path.
+    /// Spools of previous processes, by path.
     adopted: RefCell<BTreeMap<PathBuf, SpoolFile>>,
+    /// Fault injection for tests; `None` in operation.
     scheduled_crash: Cell<Option<ScheduledCrash>>,
 }
 
 impl UsageRecorder {
-    /// Creates a spool for this process in a folder, and adopts the spools of earlier processes there.
+    /// Creates a spool for this process in `folder` and adopts the spools of previous processes there.
     ///
     /// # Errors
-    /// Where the folder or the spool cannot be written.
+    /// Returns an error if the folder or the spool cannot be written.
     pub fn open(
         limiter: &str,
         folder: &Path,
@@ -130,7 +132,7 @@
         Ok(usage_recorder)
     }
 
-    /// Aborts the process where a test has scheduled that for this point.
+    /// Aborts the process if a test has scheduled a crash for this point.
     pub fn crash_if_scheduled(&self, point: CrashPoint) {
         let Some(crash) = self.scheduled_crash.get().filter(|crash| crash.at == point) else {
             return;
@@ -145,7 +147,7 @@
         }));
     }
 
-    /// Records an attempt that is about to be sent; returns its number.
+    /// Records an attempt that is about to be sent and returns its number.
     pub fn start_attempt(&self, customer: u64, units: f64) -> u64 {
         let started = self.own.spool.borrow_mut().start_attempt(customer, units);
         self.own.append(&started.line);
@@ -153,20 +155,20 @@
         started.attempt
     }
 
-    /// Records how an attempt ended. `written` says whether its last byte was sent; `estimated_units` count where the
-    /// host did not report any.
+    /// Records the outcome of an attempt. `fully_sent` tells whether the last byte of the request was sent;
+    /// `estimated_units` are recorded if the attempt succeeded and the host reported no units.
     pub fn end_attempt(
         &self,
         attempt: u64,
         result: &CallResult,
-        written: bool,
+        fully_sent: bool,
         estimated_units: f64,
     ) {
         self.crash_if_scheduled(CrashPoint::AttemptEnded);
         let outcome = match result.outcome {
             Outcome::Good if result.used.units > 0.0 => AttemptOutcome::Executed(result.used.units),
             Outcome::Good => AttemptOutcome::Executed(estimated_units),
-            outcome if outcome.never_ran() || !written => AttemptOutcome::NotExecuted,
+            outcome if outcome.never_ran() || !fully_sent => AttemptOutcome::NotExecuted,
             _ => AttemptOutcome::Unknown,
         };
         let line = self.own.spool.borrow_mut().end_attempt(attempt, outcome);
@@ -175,7 +177,7 @@
         }
     }
 
-    /// Adopts the spools of ended processes of this limiter, which are not locked any more.
+    /// Adopts the spools of previous processes of this limiter that have ended, which is known from the released file lock.
     pub fn adopt_orphaned_spools(&self) {
         let Ok(entries) = fs::read_dir(&self.folder) else {
             return;
@@ -190,7 +192,7 @@
         }
     }
 
-    /// Cuts batches of all usage of ended attempts.
+    /// Cuts batches of all usage of ended attempts, and compacts this process's own spool.
     pub fn cut_batches(&self) {
         let adopted = self.adopted.borrow();
         for spool_file in self.all_spools(&adopted) {
@@ -204,7 +206,8 @@
         self.own.compact();
     }
 
-    /// The first batch that is not known to be in the sink. Batches of earlier processes precede the own ones.
+    /// Returns the first batch that is not known to be in the sink; `None` if there is none. Batches of previous processes
+    /// precede those of this one.
     pub fn first_pending_batch(&self) -> Option<SinkRecord> {
         let adopted = self.adopted.borrow();
         let first = self
@@ -213,8 +216,8 @@
         first
     }
 
-    /// Records that the sink has a spool's batches up to a sequence number. An adopted spool is removed once the sink
-    /// has everything of it.
+    /// Records that the sink contains the batches of the spool with `epoch` up to `sequence`. An adopted spool is removed once
+    /// the sink contains all of it.
     pub fn acknowledge(&self, epoch: u64, sequence: u64) {
         self.crash_if_scheduled(CrashPoint::AcknowledgementReceived);
         let mut adopted = self.adopted.borrow_mut();
@@ -228,14 +231,14 @@
         adopted.retain(|path, spool_file| {
             let is_exported = spool_file.spool.borrow().is_empty();
             if is_exported {
-                // A file that cannot be removed is adopted again and found to be empty again.
+                // If removal fails, the file is adopted again, found empty again, and removed on a later call.
                 let _ = fs::remove_file(path);
             }
             !is_exported
         });
     }
 
-    /// The adopted spools and, after them, the own one.
+    /// Returns the adopted spools, followed by the spool of this process.
     fn all_spools<'a>(
         &'a self,
         adopted: &'a BTreeMap<PathBuf, SpoolFile>,
@@ -247,6 +250,7 @@
         path == self.own.file.path() || self.adopted.borrow().contains_key(path)
     }
 
+    /// Locks and recovers the spool at a path; `None` if it is locked, unreadable or has an invalid header.
     fn adopt(&self, path: &Path) -> Option<SpoolFile> {
         let file = OpenOptions::new().append(true).open(path).ok()?;
         file.try_lock().ok()?;
@@ -254,7 +258,7 @@
         let recovered = match Spool::recover(&self.limiter, &text) {
             Ok(recovered) => recovered,
             Err(error) => {
-                // A process that ended before its header was complete has sent nothing.
+                // A process that ended before its header was complete has sent no attempts.
                 tracing::warn!(path = %path.display(), %error, "spool ignored");
                 return None;
             }
--- a/src/simulator/encode.rs
+++ b/src/simulator/encode.rs
@@ -1,4 +1,4 @@
-//! Encoding of actions and of the other lines of a reply.
+//! Encoding of actions and of the other reply lines.
 
 use super::timer_tag::format_tag;
 use crate::api::{Action, LogEvent, Peers};
@@ -7,7 +7,7 @@
 #[cfg(test)]
 mod tests;
 
-/// Free text as the rest of a line: no tab, no line break.
+/// Replaces control characters by spaces, so that the text fits into one tab-separated field of one line.
 fn one_line(text: &str) -> String {
     let printable = |character: char| {
         if character.is_control() {
@@ -24,7 +24,7 @@
     reply.push('\n');
 }
 
-/// Appends the line for a panic of a decision engine.
+/// Appends the line that reports a panic of a decision engine.
 pub(super) fn encode_panic(text: &str, reply: &mut String) {
     push_line(&format!("BUG\t{}", one_line(text)), reply);
 }
@@ -52,7 +52,7 @@
         Action::HealthCheck { host } => format!("SAMPLE\t{}", host.0),
         Action::CloseIdle { host } => format!("CLOSE_IDLE\t{}", host.0),
         Action::MessagePeers { to, bytes } => {
-            format!("ANNOUNCE\t{}\t{}", recipients(*to), message(bytes))
+            format!("ANNOUNCE\t{}\t{}", recipients(*to), encode_bytes(bytes))
         }
         Action::Count {
             name,
@@ -66,7 +66,7 @@
     push_line(&line, reply);
 }
 
-/// The text of a log event, which the simulator stores as it is.
+/// Returns the text of a log event, which the simulator stores unchanged.
 fn record_text(event: LogEvent) -> String {
     match event {
         LogEvent::CounterDegraded => "counter in trouble: judging on what is known".to_owned(),
@@ -88,7 +88,7 @@
     }
 }
 
-fn message(bytes: &[u8]) -> String {
+fn encode_bytes(bytes: &[u8]) -> String {
     if bytes.is_empty() {
         "-".to_owned()
     } else {
--- a/src/simulator/fields.rs
+++ b/src/simulator/fields.rs
@@ -1,9 +1,9 @@
-//! Fields of a line, read in their order.
+//! Reading of a line's tab-separated fields in their order.
 
 use crate::api::{LoadReading, LoadReport, Outcome, RequestId};
 use base64::{engine::general_purpose::STANDARD as BASE64, Engine};
 
-/// Number of hexadecimal digits of a request's id.
+/// Number of hexadecimal digits of a request id.
 const REQUEST_ID_DIGITS: usize = 16;
 
 /// A malformed line.
@@ -12,9 +12,9 @@
 pub struct DecodeError {
     /// Number of the line in the stream, from one.
     pub line: u64,
-    /// Name of the field and of its message.
+    /// Names of the field and its message, as `FIELD of MESSAGE`.
     pub field: String,
-    /// What is wrong with the field.
+    /// Description of the fault.
     pub problem: String,
 }
 
@@ -23,6 +23,7 @@
 /// The fields of one line that are still to be read.
 pub(super) struct Fields<'a> {
     pub(super) line: u64,
+    /// Name of the message, which is the first field of the line.
     pub(super) message: &'a str,
     pub(super) parts: std::str::Split<'a, char>,
 }
@@ -58,8 +59,11 @@
             .map_err(|_| self.error(field, format!("cannot read {text:?}")))
     }
 
-    /// A number, of which `-` (absent) reads as zero.
-    pub(super) fn number<T: std::str::FromStr + Default>(&mut self, field: &str) -> Decoded<T> {
+    /// Reads a number; `-` (absent) is zero.
+    pub(super) fn number_or_zero<T: std::str::FromStr + Default>(
+        &mut self,
+        field: &str,
+    ) -> Decoded<T> {
         let text = self.text(field)?;
         if text == "-" {
             return Ok(T::default());
@@ -68,9 +72,9 @@
             .map_err(|_| self.error(field, format!("cannot read {text:?} as a number")))
     }
 
-    /// A finite number.
-    pub(super) fn real(&mut self, field: &str) -> Decoded<f64> {
-        let value: f64 = self.number(field)?;
+    /// Reads a finite number; `-` (absent) is zero.
+    pub(super) fn finite_or_zero(&mut self, field: &str) -> Decoded<f64> {
+        let value: f64 = self.number_or_zero(field)?;
         if value.is_finite() {
             Ok(value)
         } else {
@@ -110,7 +114,7 @@
         }
     }
 
-    /// A load report: pairs of name and value.
+    /// Reads a load report, which is a comma-separated list of `name:value` pairs; `-` (absent) is an empty report.
     pub(super) fn load(&mut self, field: &str) -> Decoded<LoadReport> {
         let text = self.text(field)?;
         if text == "-" || text.is_empty() {
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -1,5 +1,5 @@
-//! The simulator's protocol: lines of text to events of decision engines, and their actions to lines of text.
-//! Takes no decisions.
+//! The simulator's protocol: decodes lines of text into events of decision engines and encodes their actions as lines.
+//! It makes no decisions of its own.
 
 mod decode;
 mod encode;
--- a/src/simulator/timer_tag.rs
+++ b/src/simulator/timer_tag.rs
@@ -1,8 +1,8 @@
-//! Text form of timers: the kind, and after a colon the request's id in hexadecimal digits.
+//! The text form of timers: the kind, followed by a colon and the request id in hexadecimal if the timer has one.
 
 use crate::api::{RequestId, Timer};
 
-/// The tag of a timer.
+/// Returns the tag of a timer.
 pub(super) fn format_tag(timer: Timer) -> String {
     match timer {
         Timer::Deadline { id } => format!("deadline:{:x}", id.0),
@@ -14,7 +14,7 @@
     }
 }
 
-/// The timer of a tag; `None` for an unknown one.
+/// Parses a tag; `None` if it is unknown.
 pub(super) fn parse_tag(tag: &str) -> Option<Timer> {
     let (kind, digits) = tag.split_once(':').unwrap_or((tag, ""));
     let id = u64::from_str_radix(digits, 16).map(RequestId).ok();
