--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -14,8 +14,8 @@
 
 /// Read configuration files and report all their faults.
 ///
-/// A file is a platform's configuration (JSON with listen, discovery, settings), or the settings of a
-/// deployment alone (JSON or YAML). The product configuration is checked with --config. No process is started and no
+/// A file holds either a platform's configuration (JSON with listen, discovery and settings) or only the settings of a
+/// deployment (JSON or YAML). To check the product configuration, pass it as --config. No process is started and no
 /// address is opened.
 #[derive(Debug, Args)]
 #[expect(
@@ -23,9 +23,9 @@
     reason = "the comments are the text of --help, where backticks would be shown"
 )]
 pub struct Check {
-    /// Configurations and deployment files; the file of BALANCER_CONFIG if none is named.
+    /// Configuration and deployment files; the file that BALANCER_CONFIG names if none is given.
     files: Vec<PathBuf>,
-    /// The format of the report.
+    /// Output format of the report.
     #[arg(long, value_enum, default_value_t)]
     format: Format,
 }
@@ -53,7 +53,7 @@
             files.extend(std::env::var_os("BALANCER_CONFIG").map(PathBuf::from));
         }
         if files.is_empty() && product.is_none() {
-            eprintln!("quartzcleat: no file to check; name one, or set BALANCER_CONFIG");
+            eprintln!("quartzcleat: no file to check; pass one or set BALANCER_CONFIG");
             return ExitCode::from(EXIT_NO_FILES);
         }
         let mut checked: Vec<CheckedFile> = product.map(check_product).into_iter().collect();
--- a/src/cli/demo.rs
+++ b/src/cli/demo.rs
@@ -25,9 +25,9 @@
 
 /// Start three limiters with fake services on loopback, run a short load and show its events.
 ///
-/// The fakes (discovery, counter, six booking hosts, clients) run in this process, the limiters are processes of this
-/// program. It takes some 6 s; nothing else is needed and nothing is left behind. Exit code 0: every request got its
-/// one answer, no invariant was violated and the demo's own expectations held.
+/// The fakes (discovery, counter, six booking hosts, clients) run in this process; the limiters are child processes of
+/// this program. The demo takes about 6 s, needs no other service and removes its files. Exit code 0: every request got
+/// exactly one answer, no invariant was violated and the demo's own expectations held.
 #[derive(Debug, Args)]
 pub struct Demo {}
 
@@ -81,7 +81,7 @@
             }
             Some(failure) => {
                 let description = failure.violation.description;
-                super::print(&format!("Not as expected: {description}\n"));
+                super::print(&format!("Demo failed: {description}\n"));
                 ExitCode::from(EXIT_EXPECTATION_FAILED)
             }
         }
--- a/src/cli/expect.rs
+++ b/src/cli/expect.rs
@@ -9,13 +9,13 @@
 #[cfg(test)]
 mod tests;
 
-/// Check expectations of routing, quotas and retries without traffic.
+/// Check expectations of routing, quotas and retries in simulation, without traffic.
 ///
 /// Each expectation runs with the real decision engine in a simulation of the installation, through every order of
-/// events and every outcome that it leaves open: exhaustively to a depth, then by random walks for the rest of the
-/// budget.
-/// A failure is reported with the shortest timeline found, the command that replays it, and the lines of
-/// configuration behind it. An expectation that no run exercises does not hold, nor does a vacuous one: one that holds
+/// events and every outcome that it leaves open: exhaustively up to a depth, then by random walks until the budget is
+/// used up.
+/// A failure is reported with the shortest timeline found, the command that replays it, and the configuration lines
+/// that cause it. An expectation does not hold if no run exercises it, or if it is vacuous, which means that it holds
 /// under every variation of its scenario.
 ///
 /// Exit code 0: all hold; 1: one does not; 2: a file cannot be used.
@@ -25,56 +25,56 @@
     reason = "each one is a flag of the command line"
 )]
 pub struct Expect {
-    /// Files of expectations, or folders of them.
+    /// Expectation files, or folders of them.
     #[arg(default_value = "deploy/expectations")]
     paths: Vec<PathBuf>,
-    /// Other settings than the files name: YAML, or a limiter's JSON.
+    /// Settings to use instead of those that the files name: YAML, or a limiter's JSON.
     #[arg(long, value_name = "FILE")]
     settings: Option<PathBuf>,
-    /// Check under these settings too; for each verdict that differs, show the smallest set of changed lines
-    /// that causes it.
+    /// Check under these settings too, and show for each verdict that differs the smallest set of changed lines that
+    /// causes it.
     #[arg(long, value_name = "OLD")]
     against: Option<PathBuf>,
-    /// Check a setting at two values and their middle: plans.guide.rate=1.2..2.1. May be given several times.
+    /// Check a setting at two values and their midpoint, such as plans.guide.rate=1.2..2.1. May be given several times.
     #[arg(long, value_name = "NAME=FROM..TO", value_parser = parse_range)]
     range: Vec<SettingRange>,
-    /// Only expectations whose name contains this.
+    /// Check only expectations whose name contains this text.
     #[arg(long, value_name = "WORDS")]
     only: Option<String>,
-    /// Only one deployment's expectations: those whose `settings` name NAME.yaml.
+    /// Check only one deployment's expectations: those whose `settings` name NAME.yaml.
     #[arg(long, value_name = "NAME")]
     deployment: Option<String>,
-    /// The most runs for each expectation.
+    /// Maximum number of runs per expectation.
     #[arg(long, alias = "plays", value_name = "N", default_value_t = Budget::default().max_runs)]
     runs: u64,
-    /// The most events over all runs of an expectation.
+    /// Maximum number of events over all runs of an expectation.
     #[arg(long, value_name = "N", default_value_t = Budget::default().max_events)]
     events: u64,
-    /// The most choices to which the exploration is exhaustive.
+    /// Maximum number of choices up to which the exploration is exhaustive.
     #[arg(long, value_name = "N", default_value_t = Budget::default().max_depth)]
     depth: usize,
-    /// The seed of the random walks.
+    /// Seed of the random walks.
     #[arg(long, value_name = "N", default_value_t = Budget::default().seed)]
     seed: u64,
-    /// Expectations explored concurrently; 0 for one a core.
+    /// Number of expectations explored concurrently; 0 for one per core, or for 6 with --live.
     #[arg(long, value_name = "N", default_value_t = 0)]
     jobs: usize,
-    /// Run the scenarios on loopback too, with real limiters and fake services, and compare the verdicts.
+    /// Also run the scenarios on loopback, with real limiters and fake services, and compare the verdicts.
     #[arg(long)]
     live: bool,
-    /// Run this path of choices alone and show its timeline: 0,2,1.
+    /// Run only this path of choices, such as 0,2,1, and show its timeline.
     #[arg(long, value_name = "CHOICES", value_delimiter = ',')]
     path: Option<Vec<usize>>,
-    /// Do not look for the lines of configuration behind a failure.
+    /// Do not search for the configuration lines that cause a failure.
     #[arg(long, alias = "no-blame")]
     no_attribution: bool,
-    /// Do not vary expectations that hold to find vacuous ones.
+    /// Do not vary the scenarios of expectations that hold to find vacuous ones.
     #[arg(long, alias = "no-vary")]
     no_vacuity: bool,
-    /// Show those that hold, too.
+    /// Also show the expectations that hold.
     #[arg(long, short)]
     verbose: bool,
-    /// The format of the report.
+    /// Output format of the report.
     #[arg(long, value_enum, default_value_t)]
     format: Format,
 }
@@ -83,10 +83,10 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 enum RangeError {
     /// There is no `=` between a name and its values.
-    #[error("write NAME=FROM..TO, such as plans.guide.rate=1.2..2.1")]
+    #[error("expected NAME=FROM..TO, such as plans.guide.rate=1.2..2.1")]
     MissingName,
     /// A value is not a number.
-    #[error("{text:?} is no number; write NAME=FROM..TO, such as plans.guide.rate=1.2..2.1")]
+    #[error("{text:?} is not a number; expected NAME=FROM..TO, such as plans.guide.rate=1.2..2.1")]
     NotNumber { text: String },
 }
 
--- a/src/cli/live.rs
+++ b/src/cli/live.rs
@@ -170,7 +170,7 @@
     let program = match std::env::current_exe() {
         Ok(program) => program,
         Err(error) => {
-            eprintln!("quartzcleat: cannot find its own program: {error}");
+            eprintln!("quartzcleat: cannot determine the path of the executable: {error}");
             return ExitCode::from(EXIT_NOT_COMPARED);
         }
     };
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -22,7 +22,8 @@
 /// BALANCER_DISCOVERY and BALANCER_COUNTER override its values. Settings that the platform does not have come from the
 /// product configuration, a YAML file named by --config or QUARTZCLEAT_CONFIG; without it, defaults apply.
 ///
-/// Commands that check exit with 0 if everything holds, 1 if something does not, and 2 if that cannot be determined.
+/// The exit code of checking commands is 0 if everything holds, 1 if something does not, and 2 if that cannot be
+/// determined.
 #[derive(Debug, Parser)]
 #[expect(
     clippy::doc_markdown,
@@ -40,7 +41,7 @@
 /// The subcommands. The doc comment of each argument type is the help text of its command.
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Serve; the same as no command.
+    /// Serve, as without a command.
     Serve,
     Check(check::Check),
     Expect(Box<expect::Expect>),
@@ -52,7 +53,7 @@
 /// The output format of a report.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, ValueEnum)]
 pub enum Format {
-    /// Text for people.
+    /// Plain text.
     #[default]
     Human,
     /// JSON.
--- a/src/cli/usage.rs
+++ b/src/cli/usage.rs
@@ -20,16 +20,17 @@
 
 /// Add up the usage of each customer from a sink of exported usage records.
 ///
-/// A batch counts once, even if several files of the sink contain it. Exit code 1: batches are missing, or a batch has
-/// two contents; 2: a folder cannot be read.
+/// A batch counts once, even if several files of the sink contain it. Exit code 1: a batch is missing or has conflicting
+/// contents; 2: a folder cannot be read.
 #[derive(Debug, Args)]
 pub struct Usage {
-    /// The sink's folder.
+    /// Folder of the sink.
     sink: PathBuf,
-    /// Folders of spools whose remaining usage is counted too: those of limiters that are removed or stopped.
+    /// Spool folder whose remaining usage is counted too, such as that of a removed or stopped limiter. May be given several
+    /// times.
     #[arg(long)]
     spool: Vec<PathBuf>,
-    /// The format of the report.
+    /// Output format of the report.
     #[arg(long, value_enum, default_value_t)]
     format: Format,
 }
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -32,7 +32,7 @@
     #[error("log.filter: {0}")]
     Filter(#[from] ParseError),
     /// A global subscriber is already installed.
-    #[error("cannot log: {0}")]
+    #[error("cannot initialize logging: {0}")]
     AlreadyInitialized(#[from] TryInitError),
 }
 
--- a/src/net/leases/error.rs
+++ b/src/net/leases/error.rs
@@ -17,7 +17,7 @@
         source: io::Error,
     },
     /// The key file is empty.
-    #[error("lease.key: {path} is empty; put some random bytes there", path = path.display())]
+    #[error("lease.key: {path} is empty; write random bytes to it", path = path.display())]
     EmptyKey {
         /// Path of the key file.
         path: PathBuf,
@@ -33,7 +33,7 @@
         source: io::Error,
     },
     /// The spool of the usage export cannot be written.
-    #[error("lease.tasks.export.spool: {folder}: {source}", folder = folder.display())]
+    #[error("lease.tasks.export.spool: cannot open a spool in {folder}: {source}", folder = folder.display())]
     OpenSpool {
         /// Folder of the spool.
         folder: PathBuf,
--- a/src/net/leases/heartbeat.rs
+++ b/src/net/leases/heartbeat.rs
@@ -108,7 +108,9 @@
         let mut line = String::new();
         stream.take(MAX_RESPONSE_BYTES).read_line(&mut line).await?;
         Response::parse(&line).ok_or_else(|| {
-            io::Error::other(format!("{line:?} is neither OK nor OUTDATED with a token"))
+            io::Error::other(format!(
+                "unexpected response {line:?}; expected OK or OUTDATED with a token"
+            ))
         })
     }
 }
--- a/src/net/usage_export/exporter.rs
+++ b/src/net/usage_export/exporter.rs
@@ -15,7 +15,7 @@
 #[derive(Debug, Error)]
 pub enum ExportError {
     /// The operation does not belong to the tenure that was last begun.
-    #[error("the lease has changed hands")]
+    #[error("operation does not belong to the current lease tenure")]
     TenureEnded,
     /// The sink file cannot be written.
     #[error(transparent)]
--- a/src/simulator/session.rs
+++ b/src/simulator/session.rs
@@ -14,10 +14,10 @@
 #[derive(Debug, thiserror::Error)]
 pub enum SessionError {
     /// The input cannot be read.
-    #[error("cannot read: {0}")]
+    #[error("cannot read the input: {0}")]
     Read(#[source] io::Error),
     /// The reply cannot be written.
-    #[error("cannot write: {0}")]
+    #[error("cannot write the output: {0}")]
     Write(#[source] io::Error),
     /// A line is not valid UTF-8.
     #[error("line {line}, field name: {source}")]
--- a/tests/leases.rs
+++ b/tests/leases.rs
@@ -91,11 +91,11 @@
         ),
         (
             section(&empty_key, "127.0.0.1:0"),
-            format!("lease.key: {empty_key} is empty; put some random bytes there"),
+            format!("lease.key: {empty_key} is empty; write random bytes to it"),
         ),
         (
             section(&key, "127.0.0.1:0") + &export,
-            format!("lease.tasks.export.spool: {key}: "),
+            format!("lease.tasks.export.spool: cannot open a spool in {key}: "),
         ),
     ] {
         let output = start_with_lease_section(&folder, &section);
