--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
-//! A quota-keeping request limiter: the sans-I/O decision engine ([`choice::DecisionEngine`], with its types in [`api`])
+//! A quota-keeping request limiter: the sans-I/O decision engine ([`decision::DecisionEngine`], with its types in [`api`])
 //! and the program that runs it ([`net`]).
 
 /// The sans-I/O decision engine.
-pub use quartzcleat_decision as choice;
+pub use quartzcleat_decision as decision;
 pub use quartzcleat_decision::api;
 
 pub mod cli;
--- a/src/net/engine/mod.rs
+++ b/src/net/engine/mod.rs
@@ -20,7 +20,7 @@
 use super::config::Limits;
 use super::metrics::SharedMetrics;
 use crate::api::{Action, Event, Nanos, RequestId, Settings};
-use crate::choice::{DecisionEngine, EngineSnapshot, EngineStatus};
+use crate::decision::{DecisionEngine, EngineSnapshot, EngineStatus};
 use std::cell::{Cell, OnceCell, RefCell};
 use std::collections::VecDeque;
 use std::panic::{catch_unwind, AssertUnwindSafe};
--- a/src/simulator/session.rs
+++ b/src/simulator/session.rs
@@ -4,7 +4,7 @@
 use super::encode::{encode, encode_end, encode_limiter, encode_panic};
 use super::{DecodeError, Decoder, Line};
 use crate::api::{Action, Nanos, Settings};
-use crate::choice::DecisionEngine;
+use crate::decision::DecisionEngine;
 use std::any::Any;
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, Write};
--- a/tests/rules/succession.rs
+++ b/tests/rules/succession.rs
@@ -1,7 +1,7 @@
 //! A limiter that succeeds another continues from its snapshot.
 
 use quartzcleat::api::{Event, HostEntry, HostId, ListMode, Nanos, Settings};
-use quartzcleat::choice::{
+use quartzcleat::decision::{
     AdmissionSnapshot, CounterCallsSnapshot, EngineSnapshot, LatencyScoreSnapshot, TimedUnits,
 };
 use quartzcleat_test_support::engine::{EndedAttempt, EngineHarness};
--- a/tests/snapshot.rs
+++ b/tests/snapshot.rs
@@ -1,6 +1,6 @@
 //! The stored form of a snapshot: handoff files carry this JSON text between versions, so keys and arrays are fixed.
 
-use quartzcleat::choice::{
+use quartzcleat::decision::{
     AdmissionSnapshot, ClassSnapshot, ConfirmedSnapshot, CounterCallsSnapshot, CustomerSnapshot,
     EngineSnapshot, HostSnapshot, LatencyScoreSnapshot, OwnAddsSnapshot, TimedUnits,
     TotalsSnapshot, ZoneSnapshot,
