--- a/src/cli/serve.rs
+++ b/src/cli/serve.rs
@@ -1,4 +1,5 @@
-//! `quartzcleat serve`: reads the configuration, initializes logging, and runs the limiter until it is asked to shut down.
+//! `quartzcleat serve`: reads the configuration, initializes logging, and runs the limiter until it is asked to shut
+//! down.
 
 use crate::logging::{self, LoggingError};
 use crate::net::{self, config, StartError};
--- a/src/cli/usage.rs
+++ b/src/cli/usage.rs
@@ -20,14 +20,14 @@
 
 /// Add up the usage of each customer from a sink of exported usage records.
 ///
-/// A batch counts once, even if several files of the sink contain it. Exit code 1: a batch is missing or has conflicting
-/// contents; 2: a folder cannot be read.
+/// A batch counts once, even if several files of the sink contain it. Exit code 1: a batch is missing or has
+/// conflicting contents; 2: a folder cannot be read.
 #[derive(Debug, Args)]
 pub struct Usage {
     /// Folder of the sink.
     sink: PathBuf,
-    /// Spool folder whose remaining usage is counted too, such as that of a removed or stopped limiter. May be given several
-    /// times.
+    /// Spool folder whose remaining usage is counted too, such as that of a removed or stopped limiter. May be given
+    /// several times.
     #[arg(long)]
     spool: Vec<PathBuf>,
     /// Output format of the report.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,5 +1,5 @@
-//! A quota-keeping request limiter: the sans-I/O decision engine ([`decision::DecisionEngine`], with its types in [`api`])
-//! and the program that runs it ([`net`]).
+//! A quota-keeping request limiter: the sans-I/O decision engine ([`decision::DecisionEngine`], with its types in
+//! [`api`]) and the program that runs it ([`net`]).
 
 /// The sans-I/O decision engine.
 pub use quartzcleat_decision as decision;
--- a/src/net/leases/clock.rs
+++ b/src/net/leases/clock.rs
@@ -7,8 +7,8 @@
 
 /// A monotonic clock that counts from its creation, with an optional rate error.
 ///
-/// Tests configure a rate error to simulate clock drift. It is injected here because the clock of a single process cannot
-/// be changed from outside, and every decision of this process must see the same rate.
+/// Tests configure a rate error to simulate clock drift. It is injected here because the clock of a single process
+/// cannot be changed from outside, and every decision of this process must see the same rate.
 pub(super) struct LeaseClock {
     origin: Instant,
     /// Nanoseconds that this clock advances per nanosecond of the system's monotonic clock; 1.0 without a fault.
--- a/src/net/leases/export.rs
+++ b/src/net/leases/export.rs
@@ -68,8 +68,8 @@
         }
     }
 
-    /// Handles a message from another limiter's usage export. A batch that is in the sink afterwards is acknowledged, and
-    /// the next one is fetched.
+    /// Handles a message from another limiter's usage export. A batch that is in the sink afterwards is acknowledged,
+    /// and the next one is fetched.
     pub(super) fn handle_message(&self, sender: u32, message: Message) {
         let Some(sender_name) = self.limiters.get(sender as usize) else {
             return;
--- a/src/net/leases/node.rs
+++ b/src/net/leases/node.rs
@@ -78,8 +78,8 @@
         self.proposers.borrow()[task_index].guard(self.now())
     }
 
-    /// Permits an operation of a task. Returns `None` if the lease is not held or expires before the operation's maximum
-    /// duration has passed.
+    /// Permits an operation of a task. Returns `None` if the lease is not held or expires before the operation's
+    /// maximum duration has passed.
     pub(super) fn permit(&self, task_index: usize, task: &Task) -> Option<PermittedOperation> {
         let now = self.now();
         let guard = self.proposers.borrow()[task_index].guard(now)?;
@@ -274,8 +274,8 @@
         .collect()
 }
 
-/// Returns a number that differs between the processes of this limiter, derived from the Unix time in units of 1024 ns and
-/// the process id.
+/// Returns a number that differs between the processes of this limiter, derived from the Unix time in units of 1024 ns
+/// and the process id.
 fn new_incarnation() -> u32 {
     (unix_time::now() >> 10) as u32 ^ std::process::id().rotate_left(16)
 }
--- a/src/net/leases/startup.rs
+++ b/src/net/leases/startup.rs
@@ -43,8 +43,8 @@
 
 /// Starts the acceptor, the proposers and the tasks.
 ///
-/// If the previous process of this limiter still uses the address, they start once it is free. The two processes count as
-/// one acceptor, and the new one begins with the silent period that follows any start.
+/// If the previous process of this limiter still uses the address, they start once it is free. The two processes count
+/// as one acceptor, and the new one begins with the silent period that follows any start.
 ///
 /// # Errors
 /// Returns an error if the key cannot be read or is empty, or if the address cannot be bound for any reason other than
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -1,8 +1,8 @@
 //! Authenticated datagrams between limiters, over one UDP socket and between fixed addresses from the product
 //! configuration.
 //!
-//! This module distinguishes subsystems only by the kind of a datagram. Without a section `lease` in the configuration no
-//! socket is opened.
+//! This module distinguishes subsystems only by the kind of a datagram. Without a section `lease` in the configuration
+//! no socket is opened.
 
 use super::unix_time;
 use quartzcleat_lease::{open, seal, Envelope, EnvelopeError, SharedKey};
@@ -135,8 +135,8 @@
         addresses: Vec<SocketAddr>,
     ) -> std::io::Result<Self> {
         let socket = UdpSocket::bind(addresses[node_id as usize]).await?;
-        // The Unix time in microseconds is greater than any sequence number of the previous process, unless the system clock
-        // was set back.
+        // The Unix time in microseconds is greater than any sequence number of the previous process, unless the system
+        // clock was set back.
         let initial_sequence = unix_time::now() / NANOS_PER_MICROSECOND;
         Ok(Peers {
             socket,
--- a/src/net/usage_export/exporter.rs
+++ b/src/net/usage_export/exporter.rs
@@ -47,8 +47,8 @@
         }
     }
 
-    /// Begins the tenure of a token by reading the sink and opening the tenure's own file. Does nothing if that tenure is the
-    /// current one.
+    /// Begins the tenure of a token by reading the sink and opening the tenure's own file. Does nothing if that tenure
+    /// is the current one.
     ///
     /// # Errors
     /// Returns an error if the sink cannot be read or written.
--- a/src/net/usage_export/mod.rs
+++ b/src/net/usage_export/mod.rs
@@ -1,9 +1,9 @@
 //! File storage of the usage export: the spools of this limiter, and the sink that all limiters share.
 //!
-//! Every limiter process writes a spool in its limiter's own folder ([`UsageRecorder`]). The limiter that holds the export
-//! lease fetches batches from all limiters and appends them to its tenure's file in the sink ([`Exporter`]).
-//! `quartzcleat_usage_export` defines the lines and the order in which they are written, so that a process may end between
-//! any two steps without a batch being lost or counted twice.
+//! Every limiter process writes a spool in its limiter's own folder ([`UsageRecorder`]). The limiter that holds the
+//! export lease fetches batches from all limiters and appends them to its tenure's file in the sink ([`Exporter`]).
+//! `quartzcleat_usage_export` defines the lines and the order in which they are written, so that a process may end
+//! between any two steps without a batch being lost or counted twice.
 
 mod append_file;
 mod exporter;
--- a/src/net/usage_export/recorder.rs
+++ b/src/net/usage_export/recorder.rs
@@ -81,7 +81,7 @@
     }
 }
 
-/// Atomically replaces the file at `path`: writes a draft beside it, locks the draft and renames it to `path`.
+/// Replaces the file at `path`: writes a draft beside it, locks the draft and renames it to `path`.
 fn replace_file(path: &Path, text: &str) -> io::Result<File> {
     let draft = path.with_extension(DRAFT_EXTENSION);
     let mut file = OpenOptions::new()
@@ -179,7 +179,8 @@
         }
     }
 
-    /// Adopts the spools of previous processes of this limiter that have ended, which is known from the released file lock.
+    /// Adopts the spools of previous processes of this limiter that have ended, which is known from the released file
+    /// lock.
     pub fn adopt_orphaned_spools(&self) {
         let Ok(entries) = fs::read_dir(&self.folder) else {
             return;
@@ -208,8 +209,8 @@
         self.own.compact();
     }
 
-    /// Returns the first batch that is not known to be in the sink; `None` if there is none. Batches of previous processes
-    /// precede those of this one.
+    /// Returns the first batch that is not known to be in the sink; `None` if there is none. Batches of previous
+    /// processes precede those of this one.
     pub fn first_pending_batch(&self) -> Option<SinkRecord> {
         let adopted = self.adopted.borrow();
         let first = self
@@ -218,8 +219,8 @@
         first
     }
 
-    /// Records that the sink contains the batches of the spool with `epoch` up to `sequence`. An adopted spool is removed once
-    /// the sink contains all of it.
+    /// Records that the sink contains the batches of the spool with `epoch` up to `sequence`. An adopted spool is
+    /// removed once the sink contains all of it.
     pub fn acknowledge(&self, epoch: u64, sequence: u64) {
         self.crash_if_scheduled(CrashPoint::AcknowledgementReceived);
         let mut adopted = self.adopted.borrow_mut();
--- a/src/simulator/session.rs
+++ b/src/simulator/session.rs
@@ -1,5 +1,5 @@
-//! A session of the simulator's protocol: reads batches, passes events to the decision engines of the named limiters, and
-//! writes replies.
+//! A session of the simulator's protocol: reads batches, passes events to the decision engines of the named limiters,
+//! and writes replies.
 
 use super::encode::{encode, encode_end, encode_limiter, encode_panic};
 use super::{DecodeError, Decoder, Line};
@@ -154,8 +154,8 @@
         Ok(())
     }
 
-    /// Runs a step of the current limiter's engine and adds its actions to the reply. A panic is caught and reported as a
-    /// line of the reply.
+    /// Runs a step of the current limiter's engine and adds its actions to the reply. A panic is caught and reported as
+    /// a line of the reply.
     fn run(
         &mut self,
         step: impl FnOnce(&mut DecisionEngine, &mut Vec<Action>),
--- a/tests/export/main.rs
+++ b/tests/export/main.rs
@@ -1,5 +1,5 @@
-//! Usage export tests with crashes. While clients send requests, each limiter process aborts at a named crash point and is
-//! later killed from outside. The usage in the sink and the spools is then compared with what the hosts executed.
+//! Usage export tests with crashes. While clients send requests, each limiter process aborts at a named crash point and
+//! is later killed from outside. The usage in the sink and the spools is then compared with what the hosts executed.
 
 use quartzcleat_config::lease::CRASH_POINTS;
 use quartzcleat_decision::api::{LimiterIndex, RequestId};
@@ -82,8 +82,8 @@
 }
 
 impl ReportedUsage {
-    /// Returns whether the milliunits that the hosts executed lie between the reported certain ones and the sum of certain
-    /// and uncertain ones.
+    /// Returns whether the milliunits that the hosts executed lie between the reported certain ones and the sum of
+    /// certain and uncertain ones.
     fn is_consistent_with(&self, executed_milliunits: u64) -> bool {
         let upper_bound = self.executed_milliunits + self.uncertain_milliunits;
         (self.executed_milliunits..=upper_bound).contains(&executed_milliunits)
@@ -213,7 +213,7 @@
         .map(|reported| reported.executed_milliunits)
         .sum();
     println!("{point}: executed {total}, reported {certain} and {uncertain} uncertain, {in_sink} of it in the sink, {} duplicates", full_report["doubles"]);
-    // Only the attempts that are open at a crash are uncertain, and each limiter crashes at most twice.
+    // Each limiter crashes at most twice, and only the attempts that it has open then may go unreported or be uncertain.
     assert!(
         certain * 10 >= total * 9 && uncertain * 10 <= total,
         "{point}: {certain} and {uncertain} of {total}"
--- a/tests/leases.rs
+++ b/tests/leases.rs
@@ -5,7 +5,8 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
-/// Three limiters with leases of 400 ms, on links that lose 5% of the datagrams, duplicate 5% and delay all by 10 ms.
+/// Three limiters with leases of 400 ms, on links that lose 5% of the datagrams, duplicate 5% and delay each by up to
+/// 10 ms.
 const LINKS: &str = "limiters: 3\nvoters: 3\nlease: 400ms\nloss: 5%\ntwice: 5%\ndelay: 10ms\n";
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_quartzcleat");
@@ -16,8 +17,8 @@
     std::env::temp_dir().join(format!("quartzcleat-{name}-{}", std::process::id()))
 }
 
-/// Runs a scenario with this build's program. Asserts that the verdict holds and that the lease changed hands at least as
-/// often as the scenario requires.
+/// Runs a scenario with this build's program. Asserts that the verdict holds and that the lease changed hands at least
+/// as often as the scenario requires.
 fn run_scenario(text: &str, seed: u64) -> Verdict {
     let scenario = Scenario::read("scenario.yaml", text).expect("the scenario is valid");
     let folder = temporary_folder(&format!("trial-{seed}"));
