--- a/crates/bench/src/module/damages.rs
+++ b/crates/bench/src/module/damages.rs
@@ -122,7 +122,7 @@
         description: "three times the quota",
     },
     Damage {
-        file: "quota/verdict.rs",
+        file: "quota/decision.rs",
         original: "let amount = sampling.weight * claim.units + record.current.take_unsent();",
         damaged: "let amount = record.current.take_unsent();",
         description: "adds leave out the request",
@@ -152,21 +152,21 @@
         description: "adds without a reply are taken for lost",
     },
     Damage {
-        file: "quota/verdict.rs",
+        file: "quota/decision.rs",
         original: "let share = record.local_share(claim.spread, window.refill);",
         damaged: "let share = 1.0;",
         description: "each limiter grants the whole quota",
     },
     Damage {
-        file: "quota/verdict.rs",
+        file: "quota/decision.rs",
         original: "if record.previous.is_read || !record.is_over_quota(",
         damaged: "if true || !record.is_over_quota(",
         description: "the previous window is never read",
     },
     Damage {
         file: "lifecycle/arrival.rs",
-        original: "Verdict::OverQuota => time_to_next_window(&request.claim, context),",
-        damaged: "Verdict::OverQuota => 0,",
+        original: "QuotaDecision::OverQuota => time_to_next_window(&request.claim, context),",
+        damaged: "QuotaDecision::OverQuota => 0,",
         description: "over the quota without retry_after",
     },
 ];
--- a/crates/decision/src/api/log_event.rs
+++ b/crates/decision/src/api/log_event.rs
@@ -6,7 +6,7 @@
 /// A condition that operators should know about. The caller decides on its text and its destination.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogEvent {
-    /// Most counter calls fail or are too slow, so that most verdicts are based on local knowledge.
+    /// Most counter calls fail or are too slow, so that most quota decisions are based on local knowledge.
     CounterDegraded,
     /// Counter calls are answered in time again.
     CounterRecovered,
--- a/crates/decision/src/lifecycle/arrival.rs
+++ b/crates/decision/src/lifecycle/arrival.rs
@@ -1,4 +1,4 @@
-//! Request arrival: load shedding and the quota verdict.
+//! Request arrival: load shedding and the quota decision.
 
 use super::release::retry_after;
 use super::request::{PendingRequest, RequestState};
@@ -9,7 +9,7 @@
 use crate::context::Context;
 use crate::hosts::HostRequirements;
 use crate::quota::{
-    time_to_next_window, Correction, CounterReply, QuotaClaim, Verdict, VerdictBasis,
+    time_to_next_window, Correction, CounterReply, DecisionBasis, QuotaClaim, QuotaDecision,
 };
 
 /// Maximum wait for the counter, as a fraction of the time to the request's latency objective.
@@ -70,7 +70,7 @@
 }
 
 impl RequestLifecycle {
-    /// Handles an arriving request: sets its timers, applies load shedding and obtains the first quota verdict.
+    /// Handles an arriving request: sets its timers, applies load shedding and obtains the first quota decision.
     pub(crate) fn on_arrival(&mut self, arrival: Arrival, context: &mut Context) {
         let id = arrival.id;
         let request = arrival.into_request(context);
@@ -84,8 +84,8 @@
             self.finish(id, context);
             return;
         }
-        let verdict = self.first_verdict(id, claim, time_to_objective, context);
-        self.apply_verdict(id, verdict, context);
+        let decision = self.first_decision(id, claim, time_to_objective, context);
+        self.apply_decision(id, decision, context);
     }
 
     fn is_shed(&self, weight_rate: f64, context: &mut Context) -> bool {
@@ -95,30 +95,30 @@
         }
     }
 
-    /// Returns the quota verdict on a new request. Without a counter service, each limiter enforces its own
+    /// Returns the quota decision on a new request. Without a counter service, each limiter enforces its own
     /// share of the quota.
-    fn first_verdict(
+    fn first_decision(
         &mut self,
         id: RequestId,
         mut claim: QuotaClaim,
         time_to_objective: Nanos,
         context: &mut Context,
-    ) -> Verdict {
+    ) -> QuotaDecision {
         if !has_quota(context.plan(claim.plan)) {
-            return Verdict::Pass;
+            return QuotaDecision::Pass;
         }
         if !context.settings().counter.is_available {
-            return self.quotas.judge_locally(&claim, context);
+            return self.quotas.decide_locally(&claim, context);
         }
         let timeout = (time_to_objective as f64 * COUNTER_WAIT_OBJECTIVE_FRACTION) as Nanos;
-        let verdict = self.quotas.claim(id, &mut claim, timeout, context);
+        let decision = self.quotas.claim(id, &mut claim, timeout, context);
         if let Some(request) = self.requests.get_mut(id) {
             request.claim = claim;
         }
-        verdict
+        decision
     }
 
-    /// Handles the reply to a counter call and judges the requests that waited for it.
+    /// Handles the reply to a counter call and decides on the requests that waited for it.
     pub(crate) fn on_counter_reply(
         &mut self,
         name: &str,
@@ -129,37 +129,37 @@
             return;
         };
         for id in ready.requests {
-            self.judge(id, ready.basis, context);
+            self.decide(id, ready.basis, context);
         }
     }
 
-    /// Handles the timeout of a request's wait for the counter: the request is judged without the reply.
+    /// Handles the timeout of a request's wait for the counter: the request is decided without the reply.
     pub(crate) fn on_counter_wait_timeout(&mut self, id: RequestId, context: &mut Context) {
-        self.judge(id, VerdictBasis::LocalKnowledge, context);
+        self.decide(id, DecisionBasis::LocalKnowledge, context);
     }
 
-    /// Judges a request and applies the verdict, if the request still waits for the counter.
-    fn judge(&mut self, id: RequestId, basis: VerdictBasis, context: &mut Context) {
+    /// Decides on a request and applies the decision, if the request still waits for the counter.
+    fn decide(&mut self, id: RequestId, basis: DecisionBasis, context: &mut Context) {
         let Some(request) = self.requests.in_state(id, RequestState::AwaitingCounter) else {
             return;
         };
-        let verdict = match basis {
-            VerdictBasis::CounterTotal => self.quotas.judge(id, &request.claim, context),
-            VerdictBasis::LocalKnowledge => self.quotas.judge_locally(&request.claim, context),
+        let decision = match basis {
+            DecisionBasis::CounterTotal => self.quotas.decide(id, &request.claim, context),
+            DecisionBasis::LocalKnowledge => self.quotas.decide_locally(&request.claim, context),
         };
-        self.apply_verdict(id, verdict, context);
+        self.apply_decision(id, decision, context);
     }
 
-    fn apply_verdict(&mut self, id: RequestId, verdict: Verdict, context: &mut Context) {
+    fn apply_decision(&mut self, id: RequestId, decision: QuotaDecision, context: &mut Context) {
         let Some(request) = self.requests.get(id).cloned() else {
             return;
         };
-        let retry_after = match verdict {
-            Verdict::AwaitingCounter => return,
-            Verdict::Pass => return self.admit(id, context),
-            Verdict::OverQuota => time_to_next_window(&request.claim, context),
+        let retry_after = match decision {
+            QuotaDecision::AwaitingCounter => return,
+            QuotaDecision::Pass => return self.admit(id, context),
+            QuotaDecision::OverQuota => time_to_next_window(&request.claim, context),
             // Other limiters may have quota left, so an early retry may succeed within the objective.
-            Verdict::OverLocalShare => retry_after(&request, context),
+            QuotaDecision::OverLocalShare => retry_after(&request, context),
         };
         self.refund(&request.claim, context);
         if self.may_use_idle_host_beyond_quota(&request, context) {
--- a/crates/decision/src/quota.rs
+++ b/crates/decision/src/quota.rs
@@ -5,12 +5,12 @@
 mod claim;
 mod counter_calls;
 mod counts;
+mod decision;
 mod limits;
 mod record;
 mod tracker;
-mod verdict;
 mod window;
 
-pub(crate) use claim::{Correction, QuotaClaim, Verdict, VerdictBasis};
+pub(crate) use claim::{Correction, DecisionBasis, QuotaClaim, QuotaDecision};
 pub(crate) use counter_calls::CounterReply;
 pub(crate) use tracker::{time_to_next_window, QuotaTracker};
--- a/crates/decision/src/quota/claim.rs
+++ b/crates/decision/src/quota/claim.rs
@@ -1,4 +1,4 @@
-//! Claims of requests on their customer's quota, and the verdicts on them.
+//! Claims of requests on their customer's quota, and the decisions on them.
 
 use crate::api::{CustomerId, PlanIndex, RequestId};
 
@@ -37,9 +37,9 @@
     }
 }
 
-/// The verdict on a claim.
+/// Decision on a claim.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum Verdict {
+pub(crate) enum QuotaDecision {
     /// The customer is within its quota.
     Pass,
     /// The counter's totals show that the customer is over its quota.
@@ -47,24 +47,24 @@
     /// The customer is over this limiter's share of the quota, but the totals do not show that it is over the
     /// quota.
     OverLocalShare,
-    /// The verdict depends on the reply to a counter call.
+    /// The decision depends on the reply to a counter call.
     AwaitingCounter,
 }
 
-/// Basis of a verdict.
+/// Basis of a decision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum VerdictBasis {
+pub(crate) enum DecisionBasis {
     /// A total that the counter replied with.
     CounterTotal,
     /// The totals and tokens that this limiter holds, without a reply from the counter.
     LocalKnowledge,
 }
 
-/// Requests that a counter reply makes ready for a verdict.
+/// Requests that a counter reply makes ready for a decision.
 #[derive(Debug)]
-pub(crate) struct ReadyForVerdict {
+pub(crate) struct ReadyForDecision {
     pub(crate) requests: Vec<RequestId>,
-    pub(crate) basis: VerdictBasis,
+    pub(crate) basis: DecisionBasis,
 }
 
 /// Reason for a correction of a claim's units.
--- a/crates/decision/src/quota/counter_calls.rs
+++ b/crates/decision/src/quota/counter_calls.rs
@@ -24,7 +24,7 @@
 pub(super) struct CounterCall {
     pub(super) key: WindowKey,
     pub(super) amount: f64,
-    /// Request whose verdict depends on the reply; `None` for corrections and reads.
+    /// Request whose decision depends on the reply; `None` for corrections and reads.
     pub(super) request: Option<RequestId>,
     /// Amount that the counter had confirmed to this limiter at the time of the call.
     pub(super) confirmed: f64,
--- a/crates/decision/src/quota/verdict.rs
+++ b/crates/decision/src/quota/decision.rs
@@ -1,7 +1,7 @@
-//! Verdicts on claims, based on the counter's totals or on local knowledge.
+//! Decisions on claims, based on the counter's totals or on local knowledge.
 
 use super::call_sampler::{CallSampling, CustomerFrequency};
-use super::claim::{Charge, QuotaClaim, Verdict};
+use super::claim::{Charge, QuotaClaim, QuotaDecision};
 use super::counter_calls::WindowKey;
 use super::record::{CustomerRecord, RECENT_UNITS_LIFETIME_SECONDS};
 use super::tracker::{frequency_of, window_of};
@@ -19,7 +19,7 @@
 const MAX_ESTIMATED_USE: f64 = 1.35;
 
 impl QuotaTracker {
-    /// Returns the verdict on a new request. If it depends on the counter, the request waits for up to
+    /// Returns the decision on a new request. If it depends on the counter, the request waits for up to
     /// `timeout` and the claim's `charge` is set.
     pub(crate) fn claim(
         &mut self,
@@ -27,20 +27,20 @@
         claim: &mut QuotaClaim,
         timeout: Nanos,
         context: &mut Context,
-    ) -> Verdict {
+    ) -> QuotaDecision {
         let random_sample = context.random_fraction();
         let window = window_of(claim.plan, context);
         let sampling = self.sample_call(claim, &window, context);
         let record = self.current_customer(claim.customer, &window, context.now());
         if record.is_known_over_quota(&window) {
-            return Verdict::OverQuota;
+            return QuotaDecision::OverQuota;
         }
         if self.sampler.is_call_skipped(sampling, random_sample) {
-            return self.judge_locally(claim, context);
+            return self.decide_locally(claim, context);
         }
         self.charge(id, claim, sampling, &window, context);
         context.set_timer(Timer::CounterWait { id }, timeout);
-        Verdict::AwaitingCounter
+        QuotaDecision::AwaitingCounter
     }
 
     /// Adds a request's units to its customer's count, together with unsent amounts.
@@ -81,32 +81,32 @@
             .sample(need, frequency_of(claim, window, context))
     }
 
-    /// Returns the verdict by the sliding window estimate once the counter's total is known. The total of the
-    /// previous window is read once, and only if the verdict depends on it.
-    pub(crate) fn judge(
+    /// Returns the decision by the sliding window estimate once the counter's total is known. The total of the
+    /// previous window is read once, and only if the decision depends on it.
+    pub(crate) fn decide(
         &mut self,
         id: RequestId,
         claim: &QuotaClaim,
         context: &mut Context,
-    ) -> Verdict {
+    ) -> QuotaDecision {
         let window = window_of(claim.plan, context);
         let is_read_skipped = self.sampler.is_read_skipped(context.random_fraction());
         let record = self.current_customer(claim.customer, &window, context.now());
         let Some(charge) = claim.charge_in(record.window) else {
-            return self.judge_locally(claim, context);
+            return self.decide_locally(claim, context);
         };
         // Only the request's own units of the added amount are its use.
         let total = record.current.total - charge.amount_for_others(claim.units);
         if record.is_over_quota(record.previous.total, total, &window) {
-            return Verdict::OverQuota;
+            return QuotaDecision::OverQuota;
         }
         let max_previous = record.max_previous_total(&window);
         if record.previous.is_read || !record.is_over_quota(max_previous, total, &window) {
-            return Verdict::Pass;
+            return QuotaDecision::Pass;
         }
         let is_first = record.previous.awaiting_read.is_empty();
         if is_read_skipped && is_first {
-            return self.judge_locally(claim, context);
+            return self.decide_locally(claim, context);
         }
         record.previous.awaiting_read.push(id);
         if is_first {
@@ -116,12 +116,16 @@
             };
             self.call_counter(previous, 0.0, None, &window, context);
         }
-        Verdict::AwaitingCounter
+        QuotaDecision::AwaitingCounter
     }
 
-    /// Returns the verdict without a counter reply. A claim passes unless its customer is known to be over its
+    /// Returns the decision without a counter reply. A claim passes unless its customer is known to be over its
     /// quota or is over this limiter's share of it.
-    pub(crate) fn judge_locally(&mut self, claim: &QuotaClaim, context: &Context) -> Verdict {
+    pub(crate) fn decide_locally(
+        &mut self,
+        claim: &QuotaClaim,
+        context: &Context,
+    ) -> QuotaDecision {
         let plan = context.plan(claim.plan);
         let window = window_of(claim.plan, context);
         let frequency = frequency_of(claim, &window, context);
@@ -136,7 +140,7 @@
 
         let use_in_window = LocalUse::of_claim(claim, record);
         if record.is_over_quota(record.previous.total, use_in_window.total, &window) {
-            return Verdict::OverQuota;
+            return QuotaDecision::OverQuota;
         }
         let is_over_share = match frequency {
             CustomerFrequency::Frequent => {
@@ -146,16 +150,16 @@
             CustomerFrequency::Infrequent => estimated_use(record, claim, plan) > MAX_ESTIMATED_USE,
         };
         if is_over_share {
-            return Verdict::OverLocalShare;
+            return QuotaDecision::OverLocalShare;
         }
         record.local_tokens.take(claim.units);
         if frequency == CustomerFrequency::Frequent {
             record.current.unsent += use_in_window.uncharged;
         }
-        Verdict::Pass
+        QuotaDecision::Pass
     }
 
-    /// Returns the fraction of the requests whose verdict is made without the counter.
+    /// Returns the fraction of the requests that are decided without the counter.
     fn local_ratio(&self, context: &Context) -> f64 {
         if context.settings().counter.is_available {
             1.0 - self.call_ratio()
--- a/crates/decision/src/quota/record.rs
+++ b/crates/decision/src/quota/record.rs
@@ -37,7 +37,7 @@
     pub(super) previous: PreviousWindow,
     /// Tokens of this limiter's share of the hard ceiling.
     pub(super) ceiling: TokenBucket,
-    /// Tokens of this limiter's share of the quota, for verdicts without the counter.
+    /// Tokens of this limiter's share of the quota, for decisions without the counter.
     pub(super) local_tokens: TokenBucket,
     pub(super) attempts_in_flight: u32,
     /// Units requested through this limiter, which decay over time.
--- a/crates/decision/src/quota/tracker.rs
+++ b/crates/decision/src/quota/tracker.rs
@@ -1,7 +1,7 @@
 //! Quota state of all customers at this limiter: their records, the counter calls and the replies.
 
 use super::call_sampler::{CallSampler, CustomerFrequency};
-use super::claim::{Correction, QuotaClaim, ReadyForVerdict, VerdictBasis};
+use super::claim::{Correction, DecisionBasis, QuotaClaim, ReadyForDecision};
 use super::counter_calls::{CounterCall, CounterReply, PendingCalls, WindowKey};
 use super::record::CustomerRecord;
 use super::window::Window;
@@ -74,7 +74,7 @@
     }
 
     /// Adds `amount` to the count `key`, or only reads it if `amount` is zero. `request` is the request whose
-    /// verdict depends on the reply.
+    /// decision depends on the reply.
     pub(super) fn call_counter(
         &mut self,
         key: WindowKey,
@@ -134,14 +134,14 @@
         self.call_counter(key, amount, None, &window, context);
     }
 
-    /// Records the reply to a call and returns the requests that it makes ready for a verdict. `None` if no
+    /// Records the reply to a call and returns the requests that it makes ready for a decision. `None` if no
     /// call of this name is pending.
     pub(crate) fn record_reply(
         &mut self,
         name: &str,
         reply: CounterReply,
         context: &mut Context,
-    ) -> Option<ReadyForVerdict> {
+    ) -> Option<ReadyForDecision> {
         let call = self.pending_calls.take_oldest(name)?;
         let timeout = context.settings().counter.timeout;
         if let Some(event) = self.sampler.record_reply(&reply, timeout) {
@@ -155,11 +155,11 @@
             record.current.record_reply(&call, &reply);
         }
         let basis = if reply.is_good() {
-            VerdictBasis::CounterTotal
+            DecisionBasis::CounterTotal
         } else {
-            VerdictBasis::LocalKnowledge
+            DecisionBasis::LocalKnowledge
         };
-        Some(ReadyForVerdict {
+        Some(ReadyForDecision {
             requests: Vec::from_iter(call.request),
             basis,
         })
@@ -226,12 +226,12 @@
 }
 
 /// Records the reply to a read of the previous window and returns the requests that waited for it. Their
-/// verdict is based on the totals even if the read failed.
+/// decision is based on the totals even if the read failed.
 fn record_previous_total(
     record: &mut CustomerRecord,
     call: &CounterCall,
     reply: &CounterReply,
-) -> ReadyForVerdict {
+) -> ReadyForDecision {
     if record.window == call.key.window + 1 {
         let previous = &mut record.previous;
         if reply.is_good() {
@@ -239,13 +239,13 @@
         }
         previous.is_read = reply.is_good();
     }
-    ReadyForVerdict {
+    ReadyForDecision {
         requests: std::mem::take(&mut record.previous.awaiting_read),
-        basis: VerdictBasis::CounterTotal,
+        basis: DecisionBasis::CounterTotal,
     }
 }
 
-/// Returns how long after its last request a customer's record may still affect verdicts.
+/// Returns how long after its last request a customer's record may still affect decisions.
 fn record_lifetime(context: &Context) -> Nanos {
     let plans = &context.settings().plans;
     let two_windows = |plan: &Plan| two_windows(plan, context.settings(), context.now());
--- a/crates/test-support/src/engine.rs
+++ b/crates/test-support/src/engine.rs
@@ -177,7 +177,7 @@
     /// Panics where the engine does not call the counter.
     pub fn admit(&mut self, class: ClassIndex, customer: u64, units: f64) -> ReceivedRequest {
         let ReceivedRequest { id, actions } = self.request(class, customer, units);
-        let call = actions.counter_call().expect("an add before the verdict");
+        let call = actions.counter_call().expect("an add before the decision");
         let mut actions = self.reply_with_total(&call.name, call.amount);
         if let Some(read) = actions.counter_call() {
             actions = self.reply_with_total(&read.name, 0.0);
--- a/tests/quota/counting.rs
+++ b/tests/quota/counting.rs
@@ -1,4 +1,4 @@
-//! Counts of two windows at the counter, and the verdicts based on them.
+//! Counts of two windows at the counter, and the decisions based on them.
 
 use crate::{CUSTOMER, FIRST_WINDOW, PREVIOUS_WINDOW, SECOND_WINDOW, WINDOW};
 use quartzcleat::api::{Event, Outcome};
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn add_precedes_the_verdict() {
+fn add_precedes_the_decision() {
     let mut harness = EngineHarness::new(settings(), 2);
     harness.now += 3_600 * MILLISECOND;
     let request = harness.request(IDEMPOTENT, CUSTOMER, 3.0);
@@ -59,7 +59,7 @@
     assert_eq!(
         actions.counter_call(),
         Some(CounterCall::new(PREVIOUS_WINDOW, 0.0)),
-        "the verdict depends on the previous window"
+        "the decision depends on the previous window"
     );
     let actions = harness.reply_with_total(PREVIOUS_WINDOW, 72.0);
     assert_eq!(actions.rejection(request.id), Some(WINDOW / 2));
@@ -217,14 +217,14 @@
 }
 
 #[test]
-fn request_abandoned_before_its_verdict_is_refunded() {
+fn request_abandoned_before_its_decision_is_refunded() {
     let mut harness = EngineHarness::new(settings(), 2);
     let request = harness.request(IDEMPOTENT, CUSTOMER, 3.0);
     let actions = harness.handle(Event::Abandoned { id: request.id });
     assert_eq!(actions.counter_call(), Some(add_in_first_window(-3.0)));
 }
 
-/// The replies to the add and to the refund do not lead to a verdict.
+/// The replies to the add and to the refund do not lead to a decision.
 #[test]
 fn replies_for_an_abandoned_request_change_nothing() {
     let mut harness = EngineHarness::new(settings(), 2);
--- a/tests/quota/degraded_counter.rs
+++ b/tests/quota/degraded_counter.rs
@@ -1,4 +1,4 @@
-//! Verdicts while the counter is slow, failing or not available.
+//! Decisions while the counter is slow, failing or not available.
 
 use crate::{calling_requests, harness_with_failing_counter, CUSTOMER, FIRST_WINDOW};
 use quartzcleat::api::{Action, Outcome};
--- a/tests/quota/main.rs
+++ b/tests/quota/main.rs
@@ -1,4 +1,4 @@
-//! Quota enforcement over two windows, and verdicts while the counter is degraded.
+//! Quota enforcement over two windows, and decisions while the counter is degraded.
 //!
 //! The plan has a rate of 12.5 units per second and a burst of 40 units: a window is 4 s long and refills by 50 units,
 //! and the credit at its start is at most 22 units. The tests start at a window boundary.
--- a/tests/rules/queueing.rs
+++ b/tests/rules/queueing.rs
@@ -41,7 +41,7 @@
     harness.send(IDEMPOTENT, 5);
     let request = harness.request(IDEMPOTENT, 6, 1.0);
     let add = request.actions.counter_call();
-    let add = add.expect("an add before the verdict");
+    let add = add.expect("an add before the decision");
     if let Some(read) = harness.reply_with_total(&add.name, 1.0).counter_call() {
         harness.reply_with_total(&read.name, 0.0);
     }
