--- a/crates/decision/src/hosts/class_latency.rs
+++ b/crates/decision/src/hosts/class_latency.rs
@@ -1,13 +1,13 @@
-//! Mean response time of each request class, over all hosts.
+//! Mean answer time of each request class, over all hosts.
 
 use crate::api::{Class, ClassIndex, Nanos};
 use crate::primitives::WeightedMean;
 use crate::time::to_nanos;
 
-/// Maximum weight of a class's mean response time, in samples of weight one.
+/// Maximum weight of a class's mean answer time, in samples of weight one.
 pub(super) const MAX_CLASS_SAMPLES: f64 = 100.0;
 
-/// Mean response time of successful attempts for each class.
+/// Mean answer time of successful attempts for each class.
 #[derive(Debug)]
 pub(super) struct ClassLatencies {
     /// Means in seconds, by class index.
@@ -21,12 +21,12 @@
         }
     }
 
-    /// Returns the mean response time of a class in seconds; zero before the first sample.
+    /// Returns the mean answer time of a class in seconds; zero before the first sample.
     pub(super) fn mean_seconds(&self, class: ClassIndex) -> f64 {
         self.means[class.as_usize()].value()
     }
 
-    /// Returns the mean response time of a class in nanoseconds; zero before the first sample.
+    /// Returns the mean answer time of a class in nanoseconds; zero before the first sample.
     pub(super) fn mean(&self, class: ClassIndex) -> Nanos {
         to_nanos(self.mean_seconds(class))
     }
--- a/crates/decision/src/hosts/host.rs
+++ b/crates/decision/src/hosts/host.rs
@@ -17,7 +17,7 @@
     /// Latest entry in the host list.
     pub(super) entry: HostEntry,
     in_flight: BTreeSet<HostAttempt>,
-    /// Response times of the host's current process.
+    /// Answer times of the host's current process.
     pub(super) latency: LatencyScore,
     /// Estimated number of concurrent attempts of this limiter that the host can serve well within the latency
     /// objective.
--- a/crates/decision/src/hosts/latency.rs
+++ b/crates/decision/src/hosts/latency.rs
@@ -1,4 +1,4 @@
-//! Latency scores: response times of hosts and zones relative to the mean of the request's class. Hosts and
+//! Latency scores: answer times of hosts and zones relative to the mean of the request's class. Hosts and
 //! zones with a high score get fewer attempts.
 
 use crate::api::{Nanos, ZoneId};
@@ -10,9 +10,9 @@
 
 /// Weight of a zone's score against the host's own samples, in samples.
 const ZONE_SAMPLE_WEIGHT: f64 = 2.0;
-/// Minimum score of a failure, as a multiple of the class's mean response time.
+/// Minimum score of a failure, as a multiple of the class's mean answer time.
 pub(super) const FAILURE_LATENCY_SCORE: f64 = 5.0;
-/// Upper bound of a sample, as a multiple of the class's mean response time.
+/// Upper bound of a sample, as a multiple of the class's mean answer time.
 pub(super) const MAX_LATENCY_SCORE: f64 = 2.0 * FAILURE_LATENCY_SCORE;
 /// Time in which the weight of samples falls by a factor of e, in seconds.
 const SAMPLE_LIFETIME_SECONDS: f64 = 10.0;
@@ -24,17 +24,17 @@
 /// Kind of a latency sample.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Measurement {
-    /// Time to a successful response.
-    Response,
+    /// Time to a successful answer.
+    Answer,
     /// Time to a failure, to a rejection or to a missed latency objective.
     Failure,
 }
 
-/// Returns the score of one measured time. A failure counts as slow, as hosts that never respond or that
+/// Returns the score of one measured time. A failure counts as slow, as hosts that never answer or that
 /// reject immediately would otherwise look idle.
 pub(super) fn sample_score(seconds: f64, class_mean_seconds: f64, measurement: Measurement) -> f64 {
     let minimum = match measurement {
-        Measurement::Response => 0.0,
+        Measurement::Answer => 0.0,
         Measurement::Failure => FAILURE_LATENCY_SCORE,
     };
     (seconds / class_mean_seconds)
@@ -61,7 +61,7 @@
         LatencyScore { mean, measured_at }
     }
 
-    /// Returns the mean response time as a multiple of the class's mean.
+    /// Returns the mean answer time as a multiple of the class's mean.
     pub(super) fn score(&self) -> f64 {
         self.mean.value()
     }
@@ -97,7 +97,7 @@
 /// Latency score of one zone.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ZoneLatency {
-    /// Mean response time as a multiple of the class's mean; failures count as slow.
+    /// Mean answer time as a multiple of the class's mean; failures count as slow.
     pub(super) score: f64,
     /// Time of the last sample.
     pub(super) measured_at: Nanos,
--- a/crates/decision/src/hosts/latency/tests.rs
+++ b/crates/decision/src/hosts/latency/tests.rs
@@ -7,9 +7,9 @@
 
 #[test]
 fn sample_is_a_multiple_of_the_class_mean_within_bounds() {
-    assert_eq!(sample_score(0.3, 0.1, Measurement::Response), 0.3 / 0.1);
+    assert_eq!(sample_score(0.3, 0.1, Measurement::Answer), 0.3 / 0.1);
     assert_eq!(
-        sample_score(9.0, 0.1, Measurement::Response),
+        sample_score(9.0, 0.1, Measurement::Answer),
         MAX_LATENCY_SCORE
     );
 }
--- a/crates/decision/src/hosts/limits.rs
+++ b/crates/decision/src/hosts/limits.rs
@@ -1,4 +1,4 @@
-//! Concurrency limits per host and over all hosts, adjusted by response times.
+//! Concurrency limits per host and over all hosts, adjusted by answer times.
 
 use super::host::{AttemptResult, SentAttempt};
 use super::HostPool;
@@ -12,8 +12,8 @@
 
 /// Initial number of concurrent attempts per host, from all limiters together.
 const INITIAL_HOST_CONCURRENCY: f64 = 6.0;
-/// Gain of the concurrency limit over all hosts, in attempts per response and per unit of difference between
-/// the response's objective ratio and [`PROMPT_OBJECTIVE_RATIO`].
+/// Gain of the concurrency limit over all hosts, in attempts per answer and per unit of difference between
+/// the answer's objective ratio and [`PROMPT_OBJECTIVE_RATIO`].
 const CONCURRENCY_GAIN: f64 = 0.3;
 /// Factor on a host's concurrency limit after a result past the latency objective.
 const MISSED_OBJECTIVE_BACKOFF: f64 = 0.25;
@@ -43,8 +43,8 @@
         self.in_flight as f64 >= limit.round().max(1.0)
     }
 
-    /// Adjusts the limit over all hosts by a response time, given as a multiple of its latency objective:
-    /// raises it after a prompt response if the limit is in use, and lowers it after any other.
+    /// Adjusts the limit over all hosts by an answer time, given as a multiple of its latency objective:
+    /// raises it after a prompt answer if the limit is in use, and lowers it after any other.
     pub(crate) fn adjust_pool_limit(&mut self, objective_ratio: f64, context: &Context) {
         // The change is absolute, not relative to the limit, so that all limiters together behave alike
         // whatever their number.
@@ -77,7 +77,7 @@
         if result.outcome == Outcome::Good && is_prompt {
             if is_in_use {
                 // Divided by the number of limiters: all raise their limits at the same time, and late
-                // responses reveal an overload only afterwards.
+                // answers reveal an overload only afterwards.
                 let limiter_count = f64::from(context.settings().limiters.count);
                 let increase = 1.0 / host.concurrency_limit.value() / limiter_count;
                 host.concurrency_limit.add(increase, MIN_HOST_LIMIT);
--- a/crates/decision/src/hosts/limits/tests.rs
+++ b/crates/decision/src/hosts/limits/tests.rs
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn late_responses_lower_the_pool_limit_and_prompt_ones_leave_an_unused_limit() {
+fn late_answers_lower_the_pool_limit_and_prompt_ones_leave_an_unused_limit() {
     let mut harness = Harness::new();
     let initial = harness.pool.concurrency_limit();
     harness.with_pool(|pool, context| pool.adjust_pool_limit(0.0, context));
--- a/crates/decision/src/hosts/pool.rs
+++ b/crates/decision/src/hosts/pool.rs
@@ -83,7 +83,7 @@
         self.hosts.retain(|_, host| !host.is_unused());
     }
 
-    /// Reorders the mean response times after a change of the settings. Classes are matched by name.
+    /// Reorders the mean answer times after a change of the settings. Classes are matched by name.
     pub(crate) fn remap_classes(&mut self, previous: &[Class], current: &[Class]) {
         self.class_latencies.remap_classes(previous, current);
     }
@@ -118,7 +118,7 @@
         context: &mut Context,
     ) {
         let measurement = match result.outcome {
-            Outcome::Good => Measurement::Response,
+            Outcome::Good => Measurement::Answer,
             _ => Measurement::Failure,
         };
         self.record_latency(attempt, result.elapsed, measurement, context.now());
@@ -147,7 +147,7 @@
         let Some(host) = self.hosts.get_mut(&attempt.host) else {
             return;
         };
-        // Before the first response of the class there is no mean to compare with.
+        // Before the first answer of the class there is no mean to compare with.
         if class_mean <= 0.0 {
             return;
         }
@@ -178,7 +178,7 @@
         }
     }
 
-    /// Returns the mean response time of a class; zero before its first response.
+    /// Returns the mean answer time of a class; zero before its first answer.
     pub(crate) fn mean_latency(&self, class: ClassIndex) -> Nanos {
         self.class_latencies.mean(class)
     }
--- a/crates/decision/src/hosts/snapshot.rs
+++ b/crates/decision/src/hosts/snapshot.rs
@@ -15,11 +15,11 @@
 const MIN_POOL_LIMIT: f64 = 0.1;
 /// Upper bound of restored concurrency limits, in attempts.
 const MAX_CONCURRENCY: f64 = 1e3;
-/// Upper bound of a restored mean response time, in seconds.
+/// Upper bound of a restored mean answer time, in seconds.
 const MAX_LATENCY_SECONDS: f64 = 1e3;
 
 impl HostPool {
-    /// Returns the mean response times of the classes, in the order of the settings.
+    /// Returns the mean answer times of the classes, in the order of the settings.
     pub(crate) fn class_snapshots(&self, classes: &[Class]) -> Vec<ClassSnapshot> {
         let classes = classes.iter().zip(self.class_latencies.means());
         classes
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Restores the mean response time of a class, identified by its name.
+    /// Restores the mean answer time of a class, identified by its name.
     fn restore_class(&mut self, class: &ClassSnapshot, classes: &[Class]) {
         let index = classes.iter().rposition(|known| known.name == class.name);
         let Some(index) = index else { return };
--- a/crates/decision/src/lib.rs
+++ b/crates/decision/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! The [`DecisionEngine`] takes timestamped [`api::Event`]s and returns [`api::Action`]s. It owns the current
 //! time and the settings, and routes events to `lifecycle`, which tracks each request from its arrival to its
-//! final response. `lifecycle` calls three modules that depend neither on it nor on each other: `admission`
+//! final answer. `lifecycle` calls three modules that depend neither on it nor on each other: `admission`
 //! sheds load, `quota` keeps each customer's count, and `hosts` selects the host of an attempt. `primitives`
 //! holds generic building blocks that depend on neither requests nor hosts.
 //!
--- a/crates/decision/src/lifecycle.rs
+++ b/crates/decision/src/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Request lifecycle: arrival, admission, queueing, attempts, retries and the final response. Calls
+//! Request lifecycle: arrival, admission, queueing, attempts, retries and the final answer. Calls
 //! `admission`, `quota` and `hosts`, which depend neither on it nor on each other. Uses neither sockets nor
 //! clocks.
 
--- a/crates/decision/src/lifecycle/attempt.rs
+++ b/crates/decision/src/lifecycle/attempt.rs
@@ -15,7 +15,7 @@
 pub(super) struct InFlightAttempt {
     pub(super) sent: SentAttempt,
     pub(super) customer: CustomerId,
-    /// Whether the streamed response has started. The attempt then no longer counts against the host, but still
+    /// Whether the streamed answer has started. The attempt then no longer counts against the host, but still
     /// counts against the customer's limit on concurrent attempts.
     pub(super) has_stream_started: bool,
 }
--- a/crates/decision/src/lifecycle/completion.rs
+++ b/crates/decision/src/lifecycle/completion.rs
@@ -1,4 +1,4 @@
-//! Completion: results of attempts and the final response to a request.
+//! Completion: results of attempts and the final answer to a request.
 
 use super::attempt::{AttemptEnd, AttemptKey};
 use super::release::retry_after;
@@ -11,8 +11,8 @@
 use crate::quota::Correction;
 
 impl RequestLifecycle {
-    /// Handles the start of a streamed response. The host's work is done by then, however long the client
-    /// takes to read the response. The customer's limit on concurrent attempts still counts the attempt.
+    /// Handles the start of a streamed answer. The host's work is done by then, however long the client
+    /// takes to read the answer. The customer's limit on concurrent attempts still counts the attempt.
     pub(crate) fn on_stream_started(
         &mut self,
         key: AttemptKey,
@@ -37,7 +37,7 @@
         self.release_queue(context);
     }
 
-    /// Handles the end of an attempt, which may lead to a retry or to the final response.
+    /// Handles the end of an attempt, which may lead to a retry or to the final answer.
     pub(crate) fn on_attempt_done(
         &mut self,
         key: AttemptKey,
@@ -80,7 +80,7 @@
             Outcome::Rejected => 1.0,
             _ => objective_ratio(result.elapsed, context.class(attempt.class)),
         };
-        // A response past its objective was already recorded when the objective was missed.
+        // An answer past its objective was already recorded when the objective was missed.
         if matches!(result.outcome, Outcome::Rejected | Outcome::Good) && ratio <= 1.0 {
             self.record_objective_ratio(ratio, context);
         }
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Adjusts the concurrency limit over all hosts and the admission ratio by a response time, given as a
+    /// Adjusts the concurrency limit over all hosts and the admission ratio by an answer time, given as a
     /// multiple of its latency objective.
     pub(super) fn record_objective_ratio(&mut self, ratio: f64, context: &Context) {
         self.hosts.adjust_pool_limit(ratio, context);
@@ -124,7 +124,7 @@
             .adjust(&claim, correction, Correction::Settlement, context);
     }
 
-    /// Finishes a request that got no response from a host: rejects it if a retry would repeat no effect,
+    /// Finishes a request that got no answer from a host: rejects it if a retry would repeat no effect,
     /// otherwise fails it. Cancels the attempt in flight, if cancellation is allowed.
     pub(super) fn finish(&mut self, id: RequestId, context: &mut Context) {
         let Some(request) = self.remove_and_refund(id, context) else {
@@ -145,7 +145,7 @@
         });
     }
 
-    /// Handles a request whose client closed its connection: the request is removed without a response.
+    /// Handles a request whose client closed its connection: the request is removed without an answer.
     pub(crate) fn on_abandoned(&mut self, id: RequestId, context: &mut Context) {
         self.remove_and_refund(id, context);
     }
--- a/crates/decision/src/lifecycle/deadlines.rs
+++ b/crates/decision/src/lifecycle/deadlines.rs
@@ -10,7 +10,7 @@
 const MAX_TIMER_DELAY_TICKS: u64 = 2;
 
 impl RequestLifecycle {
-    /// Handles the deadline of a request, which does not apply to a response that is being streamed.
+    /// Handles the deadline of a request, which does not apply to an answer that is being streamed.
     pub(crate) fn on_deadline(&mut self, id: RequestId, context: &mut Context) {
         let Some(request) = self.requests.get(id) else {
             return;
@@ -25,7 +25,7 @@
         let Some(request) = self.requests.in_state(id, RequestState::InFlight) else {
             return;
         };
-        // A late response without weight is not awaited: the client gets its final response immediately.
+        // A late answer without weight is not awaited: the client gets its final answer immediately.
         let has_no_late_weight = context.class(request.class()).late_weight <= 0.0;
         // Timers also fire late after a pause of the limiter, which must not be attributed to the host.
         let max_delay = MAX_TIMER_DELAY_TICKS * context.settings().limiters.tick;
--- a/crates/decision/src/lifecycle/dispatch.rs
+++ b/crates/decision/src/lifecycle/dispatch.rs
@@ -11,7 +11,7 @@
 /// Result of dispatching a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Dispatch {
-    /// An attempt was sent, or the request already has its final response.
+    /// An attempt was sent, or the request already has its final answer.
     Sent,
     /// The customer's ceiling or concurrency limit, an expired deduplication window, or the hosts of the
     /// request's deduplication scope prevent an attempt. Other requests may be dispatched.
--- a/crates/decision/src/lifecycle/release.rs
+++ b/crates/decision/src/lifecycle/release.rs
@@ -11,7 +11,7 @@
 /// Maximum queueing time as a fraction of the latency objective. A rejected client is asked to retry after the
 /// same time.
 const QUEUE_OBJECTIVE_FRACTION: f64 = 0.25;
-/// Minimum time left until a queued request's objective, as a multiple of the mean response time of its class.
+/// Minimum time left until a queued request's objective, as a multiple of the mean answer time of its class.
 /// With less time left, the request is rejected.
 const MIN_REMAINING_LATENCIES: u64 = 3;
 /// Lower bound of a request's work, which is used as a divisor, in seconds.
@@ -78,7 +78,7 @@
         queued
     }
 
-    /// Returns whether too little time is left for a response within the objective.
+    /// Returns whether too little time is left for an answer within the objective.
     fn is_too_late(&self, request: &PendingRequest, context: &Context) -> bool {
         let required_time = MIN_REMAINING_LATENCIES * self.expected_latency(request);
         context.now() + required_time > request.objective_deadline(context)
@@ -93,7 +93,7 @@
         (weight / work).max(MIN_WEIGHT_RATE)
     }
 
-    /// Returns the mean response time of the request's class; zero before its first response.
+    /// Returns the mean answer time of the request's class; zero before its first answer.
     pub(super) fn expected_latency(&self, request: &PendingRequest) -> Nanos {
         self.hosts.mean_latency(request.class())
     }
--- a/crates/decision/src/lifecycle/request.rs
+++ b/crates/decision/src/lifecycle/request.rs
@@ -1,4 +1,4 @@
-//! Pending requests: those without a final response.
+//! Pending requests: those without a final answer.
 
 use crate::api::{AttemptIndex, ClassIndex, Nanos, PlanIndex, RequestId};
 use crate::context::Context;
@@ -15,11 +15,11 @@
     Queued,
     /// An attempt is in flight.
     InFlight,
-    /// A streamed response has started.
+    /// A streamed answer has started.
     Streaming,
 }
 
-/// Request without a final response.
+/// Request without a final answer.
 #[derive(Clone, Debug)]
 pub(super) struct PendingRequest {
     pub(super) claim: QuotaClaim,
@@ -47,7 +47,7 @@
         AttemptIndex(self.attempts - 1)
     }
 
-    /// Returns the latest time at which a response meets the latency objective of the request's class.
+    /// Returns the latest time at which an answer meets the latency objective of the request's class.
     pub(super) fn objective_deadline(&self, context: &Context) -> Nanos {
         let objective = context.class(self.class()).latency_objective;
         self.arrived_at.saturating_add(objective).min(self.deadline)
