--- a/crates/decision/src/quota/call_sampler.rs
+++ b/crates/decision/src/quota/call_sampler.rs
@@ -19,10 +19,10 @@
 const DEGRADED_BELOW: f64 = 2.0;
 /// Multiple of [`MIN_CALL_RATIO`] above which the counter is logged as recovered.
 const RECOVERED_ABOVE: f64 = 4.0;
-/// Weight of a new request in the mean need.
-const NEED_SMOOTHING: f64 = 0.1;
-/// Lower bound of needs in a quotient, which avoids a division by zero.
-const MIN_NEED: f64 = 1e-9;
+/// Weight of a new request in the mean quota fraction.
+const QUOTA_FRACTION_SMOOTHING: f64 = 0.1;
+/// Lower bound of quota fractions in a quotient, which avoids a division by zero.
+const MIN_QUOTA_FRACTION: f64 = 1e-9;
 
 /// Frequency of a customer's requests at this limiter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -50,8 +50,8 @@
 pub(super) struct CallSampler {
     /// Fraction of the requests that call the counter, in [`MIN_CALL_RATIO`]..=1.
     call_ratio: f64,
-    /// Mean need of the requests, as defined by [`sample`](Self::sample).
-    mean_need: ExponentialMean,
+    /// Mean quota fraction of the requests, as defined by [`sample`](Self::sample).
+    mean_quota_fraction: ExponentialMean,
     is_counter_degraded: bool,
 }
 
@@ -59,7 +59,7 @@
     pub(super) fn new() -> Self {
         CallSampler {
             call_ratio: 1.0,
-            mean_need: ExponentialMean::default(),
+            mean_quota_fraction: ExponentialMean::default(),
             is_counter_degraded: false,
         }
     }
@@ -69,19 +69,25 @@
         self.call_ratio
     }
 
-    /// Records a request's need and returns how the request is sampled. The need is the amount that the request
-    /// would add to its count, as a fraction of the customer's refill in one window.
-    pub(super) fn sample(&mut self, need: f64, frequency: CustomerFrequency) -> CallSampling {
-        self.mean_need.record(need, NEED_SMOOTHING);
-        let relative_need = need.max(MIN_NEED) / self.mean_need.value().max(MIN_NEED);
+    /// Records a request's quota fraction and returns how the request is sampled. The quota fraction is the
+    /// amount that the request would add to its count, as a fraction of the customer's refill in one window.
+    pub(super) fn sample(
+        &mut self,
+        quota_fraction: f64,
+        frequency: CustomerFrequency,
+    ) -> CallSampling {
+        self.mean_quota_fraction
+            .record(quota_fraction, QUOTA_FRACTION_SMOOTHING);
+        let relative_fraction = quota_fraction.max(MIN_QUOTA_FRACTION)
+            / self.mean_quota_fraction.value().max(MIN_QUOTA_FRACTION);
         match frequency {
             CustomerFrequency::Frequent => CallSampling {
-                probability: (self.call_ratio * relative_need).min(1.0),
+                probability: (self.call_ratio * relative_fraction).min(1.0),
                 weight: 1.0,
             },
             CustomerFrequency::Infrequent => {
                 // No later call includes the units of skipped requests, so one call represents them as well.
-                let probability = self.call_ratio.powf(1.0 / relative_need);
+                let probability = self.call_ratio.powf(1.0 / relative_fraction);
                 CallSampling {
                     probability,
                     weight: 1.0 / probability.max(MIN_CALL_RATIO),
@@ -139,14 +145,19 @@
     pub(super) fn snapshot(&self) -> CounterCallsSnapshot {
         CounterCallsSnapshot {
             ratio: self.call_ratio,
-            mean_need: self.mean_need.value(),
+            mean_quota_fraction: self.mean_quota_fraction.value(),
         }
     }
 
     /// Restores the state from a predecessor's snapshot.
     pub(super) fn restore(&mut self, snapshot: CounterCallsSnapshot) {
         self.call_ratio = valid_or(snapshot.ratio, MIN_CALL_RATIO, 1.0, self.call_ratio);
-        let mean_need = valid_or(snapshot.mean_need, 0.0, MAX_UNITS, self.mean_need.value());
-        self.mean_need = ExponentialMean::new(mean_need);
+        let mean_quota_fraction = valid_or(
+            snapshot.mean_quota_fraction,
+            0.0,
+            MAX_UNITS,
+            self.mean_quota_fraction.value(),
+        );
+        self.mean_quota_fraction = ExponentialMean::new(mean_quota_fraction);
     }
 }
--- a/crates/decision/src/quota/call_sampler/tests.rs
+++ b/crates/decision/src/quota/call_sampler/tests.rs
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn larger_needs_call_a_slow_counter_more_often() {
+fn requests_for_larger_quota_fractions_call_a_slow_counter_more_often() {
     let mut sampler = CallSampler::new();
     record(&mut sampler, Outcome::Timeout, TIMEOUT, 5);
     for _ in 0..50 {
--- a/crates/decision/src/quota/decision.rs
+++ b/crates/decision/src/quota/decision.rs
@@ -66,7 +66,7 @@
         self.call_counter(key, amount, Some(id), window, context);
     }
 
-    /// Records a request's units and need, and returns how the request is sampled for a counter call.
+    /// Records a request's units and quota fraction, and returns how the request is sampled for a counter call.
     fn sample_call(
         &mut self,
         claim: &QuotaClaim,
@@ -76,9 +76,9 @@
         let record = self.current_customer(claim.customer, window, context.now());
         record.recent_units += claim.units;
         let amount = (claim.units + record.current.unsent).max(0.0);
-        let need = amount / window.refill;
+        let quota_fraction = amount / window.refill;
         self.sampler
-            .sample(need, frequency_of(claim, window, context))
+            .sample(quota_fraction, frequency_of(claim, window, context))
     }
 
     /// Returns the decision by the sliding window estimate once the counter's total is known. The total of the
--- a/crates/decision/src/snapshot/data.rs
+++ b/crates/decision/src/snapshot/data.rs
@@ -41,11 +41,12 @@
     /// Fraction of the requests that call the counter.
     pub ratio: f64,
     /// Mean amount that a request would add to its count, as a fraction of the customer's refill in one window.
-    pub mean_need: f64,
+    #[serde(rename = "mean_need")]
+    pub mean_quota_fraction: f64,
 }
 impl_array_form!(CounterCallsSnapshot {
     ratio: f64,
-    mean_need: f64
+    mean_quota_fraction: f64
 });
 
 /// Load shedding.
--- a/tests/rules/succession.rs
+++ b/tests/rules/succession.rs
@@ -105,7 +105,7 @@
     let mut snapshot = EngineSnapshot {
         counter_calls: CounterCallsSnapshot {
             ratio: f64::NAN,
-            mean_need: -1.0,
+            mean_quota_fraction: -1.0,
         },
         admission: AdmissionSnapshot {
             ratio: 9.0,
--- a/tests/snapshot.rs
+++ b/tests/snapshot.rs
@@ -43,7 +43,7 @@
         at: 1_000_000_000_000,
         counter_calls: CounterCallsSnapshot {
             ratio: 0.5,
-            mean_need: 0.25,
+            mean_quota_fraction: 0.25,
         },
         admission: AdmissionSnapshot {
             ratio: 0.75,
