--- a/crates/bench/src/module/damages.rs
+++ b/crates/bench/src/module/damages.rs
@@ -123,8 +123,8 @@
     },
     Damage {
         file: "quota/decision.rs",
-        original: "let amount = sampling.weight * claim.units + record.current.take_unsent();",
-        damaged: "let amount = record.current.take_unsent();",
+        original: "let amount = sampling.weight * claim.units + record.current.reset_unsent();",
+        damaged: "let amount = record.current.reset_unsent();",
         description: "adds leave out the request",
     },
     Damage {
--- a/crates/decision/src/lifecycle/queue.rs
+++ b/crates/decision/src/lifecycle/queue.rs
@@ -28,7 +28,7 @@
     }
 
     /// Removes and returns all ids in queue order.
-    pub(super) fn take_all(&mut self) -> Vec<RequestId> {
+    pub(super) fn remove_all(&mut self) -> Vec<RequestId> {
         Vec::from(std::mem::take(&mut self.ids))
     }
 
--- a/crates/decision/src/lifecycle/queue/tests.rs
+++ b/crates/decision/src/lifecycle/queue/tests.rs
@@ -36,6 +36,6 @@
     let mut queue = DispatchQueue::default();
     queue.push_back(RequestId(1));
     queue.push_front(RequestId(2));
-    assert_eq!(queue.take_all(), [RequestId(2), RequestId(1)]);
+    assert_eq!(queue.remove_all(), [RequestId(2), RequestId(1)]);
     assert!(queue.is_empty());
 }
--- a/crates/decision/src/lifecycle/release.rs
+++ b/crates/decision/src/lifecycle/release.rs
@@ -38,7 +38,7 @@
     /// Dispatches queued requests by descending weight rate. Finishes those that can no longer meet their
     /// objective, and new ones that are past their maximum queueing time.
     pub(crate) fn release_queue(&mut self, context: &mut Context) {
-        let queued = self.take_queue_by_weight_rate(context);
+        let queued = self.remove_queued_by_weight_rate(context);
         // If hosts are known but none is ready, new requests do not wait. Before the first host list, they do.
         let has_no_ready_host = !self.hosts.is_empty() && self.hosts.ready_count() == 0;
         let mut capacity = HostCapacity::Available;
@@ -67,9 +67,9 @@
         self.queue.set_timer(context);
     }
 
-    /// Empties the queue and returns its ids by descending weight rate, in queue order among equals.
-    fn take_queue_by_weight_rate(&mut self, context: &Context) -> Vec<RequestId> {
-        let mut queued = self.queue.take_all();
+    /// Removes all ids from the queue and returns them by descending weight rate, in queue order among equals.
+    fn remove_queued_by_weight_rate(&mut self, context: &Context) -> Vec<RequestId> {
+        let mut queued = self.queue.remove_all();
         queued.sort_by_cached_key(|id| {
             let request = self.requests.get(*id);
             // Positive floats order like their bit patterns.
--- a/crates/decision/src/primitives/token_bucket.rs
+++ b/crates/decision/src/primitives/token_bucket.rs
@@ -42,8 +42,8 @@
         self.refilled_at = now;
     }
 
-    /// Takes tokens. The number of tokens may become negative.
-    pub(crate) fn take(&mut self, tokens: f64) {
+    /// Removes tokens. The number that remains may be negative.
+    pub(crate) fn remove_tokens(&mut self, tokens: f64) {
         self.tokens -= tokens;
     }
 }
--- a/crates/decision/src/primitives/token_bucket/tests.rs
+++ b/crates/decision/src/primitives/token_bucket/tests.rs
@@ -21,6 +21,6 @@
 #[test]
 fn bucket_may_be_overdrawn() {
     let mut bucket = TokenBucket::new(1.0, 0);
-    bucket.take(3.0);
+    bucket.remove_tokens(3.0);
     assert_eq!(bucket.tokens(), -2.0);
 }
--- a/crates/decision/src/quota/counter_calls.rs
+++ b/crates/decision/src/quota/counter_calls.rs
@@ -63,7 +63,7 @@
     }
 
     /// Removes and returns the call that a reply to `name` belongs to. `None` if no call is pending.
-    pub(super) fn take_oldest(&mut self, name: &str) -> Option<CounterCall> {
+    pub(super) fn remove_oldest(&mut self, name: &str) -> Option<CounterCall> {
         self.calls.get_mut(name)?.pop_front()
     }
 
--- a/crates/decision/src/quota/counts.rs
+++ b/crates/decision/src/quota/counts.rs
@@ -39,7 +39,7 @@
     }
 
     /// Resets and returns the unsent amount, which the next call must include.
-    pub(super) fn take_unsent(&mut self) -> f64 {
+    pub(super) fn reset_unsent(&mut self) -> f64 {
         std::mem::take(&mut self.unsent)
     }
 
--- a/crates/decision/src/quota/counts/tests.rs
+++ b/crates/decision/src/quota/counts/tests.rs
@@ -47,7 +47,7 @@
     let mut counts = WindowCounts::default();
     let call = add(&mut counts, 2.0);
     counts.record_reply(&call, &reply(Outcome::Rejected, 0.0));
-    assert_eq!(counts.take_unsent(), 2.0);
+    assert_eq!(counts.reset_unsent(), 2.0);
     assert_eq!(counts.unsent, 0.0);
 }
 
--- a/crates/decision/src/quota/decision.rs
+++ b/crates/decision/src/quota/decision.rs
@@ -53,7 +53,7 @@
         context: &mut Context,
     ) {
         let record = self.current_customer(claim.customer, window, context.now());
-        let amount = sampling.weight * claim.units + record.current.take_unsent();
+        let amount = sampling.weight * claim.units + record.current.reset_unsent();
         record.current.pending += amount;
         let key = WindowKey {
             customer: claim.customer,
@@ -152,7 +152,7 @@
         if is_over_share {
             return QuotaDecision::OverLocalShare;
         }
-        record.local_tokens.take(claim.units);
+        record.local_tokens.remove_tokens(claim.units);
         if frequency == CustomerFrequency::Frequent {
             record.current.unsent += use_in_window.uncharged;
         }
--- a/crates/decision/src/quota/limits.rs
+++ b/crates/decision/src/quota/limits.rs
@@ -33,12 +33,12 @@
         bucket.tokens()
     }
 
-    /// Records the first attempt of a request, which also takes its units from the hard ceiling.
+    /// Records the first attempt of a request, which also removes its units from the hard ceiling.
     pub(crate) fn record_first_attempt(&mut self, claim: &QuotaClaim, context: &Context) {
         let uses_ceiling = has_ceiling(context.plan(claim.plan));
         let record = self.customer(claim.customer);
         if uses_ceiling {
-            record.ceiling.take(claim.units);
+            record.ceiling.remove_tokens(claim.units);
         }
         record.begin_attempt();
     }
--- a/crates/decision/src/quota/tracker.rs
+++ b/crates/decision/src/quota/tracker.rs
@@ -142,7 +142,7 @@
         reply: CounterReply,
         context: &mut Context,
     ) -> Option<ReadyForDecision> {
-        let call = self.pending_calls.take_oldest(name)?;
+        let call = self.pending_calls.remove_oldest(name)?;
         let timeout = context.settings().counter.timeout;
         if let Some(event) = self.sampler.record_reply(&reply, timeout) {
             context.push(Action::Log { event });
