--- a/crates/decision/src/admission/load_shedder.rs
+++ b/crates/decision/src/admission/load_shedder.rs
@@ -1,4 +1,4 @@
-//! Load shedder, which adjusts the fraction of requests that is admitted to the delay of answers.
+//! Load shedder, which adjusts the fraction of requests that is admitted to the answer times.
 
 use crate::api::Nanos;
 use crate::objective::PROMPT_OBJECTIVE_RATIO;
@@ -89,9 +89,9 @@
     }
 
     /// Returns the objective ratio that is recorded for an attempt without an answer by its objective. It is
-    /// proportional to that of successful attempts, up to one: while these are prompt, hosts are not overloaded,
-    /// and shedding would neither recover lost answers nor revive dead hosts. The reaction is late if all hosts
-    /// stop at once.
+    /// proportional to the mean ratio of successful attempts, up to one: while these are prompt, hosts are not
+    /// overloaded, and shedding would neither recover lost answers nor revive dead hosts. The reaction is late if
+    /// all hosts stop at once.
     pub(crate) fn missed_objective_ratio(&self) -> f64 {
         (self.success_objective_ratio.value() / PROMPT_OBJECTIVE_RATIO).min(1.0)
     }
--- a/crates/decision/src/api/action.rs
+++ b/crates/decision/src/api/action.rs
@@ -24,14 +24,14 @@
         /// Request that the objective applies to.
         id: RequestId,
     },
-    /// Latest moment up to which a request waits for the reply to its counter call.
+    /// End of a request's wait for the reply to its counter call.
     CounterWait {
         /// Request that waits.
         id: RequestId,
     },
-    /// Next check of the queue of admitted requests.
+    /// Next release of the queue of admitted requests.
     ReleaseQueue,
-    /// Next attempt to subscribe to the host list after a failure.
+    /// Next subscription to the host list after a discovery failure.
     WatchHosts,
     /// Next removal of customers and hosts that are no longer in use.
     Sweep,
--- a/crates/decision/src/api/event.rs
+++ b/crates/decision/src/api/event.rs
@@ -124,8 +124,8 @@
 }
 
 impl Event {
-    /// Returns the end of an attempt that the caller did not send, for example because the client had already
-    /// closed its connection.
+    /// Returns the [`AttemptDone`](Self::AttemptDone) event of an attempt that the caller did not send, for
+    /// example because the client had already closed its connection.
     #[must_use]
     pub fn attempt_never_sent(request: RequestId, attempt: AttemptIndex, host: HostId) -> Self {
         Event::AttemptDone {
--- a/crates/decision/src/api/hosts.rs
+++ b/crates/decision/src/api/hosts.rs
@@ -5,7 +5,7 @@
 /// State of a host's process according to discovery.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum HostState {
-    /// Takes requests.
+    /// Accepts new requests.
     Ready,
     /// Finishes the requests that it has; no new ones may be sent.
     Draining,
@@ -27,7 +27,7 @@
     pub zone: ZoneId,
     /// Machine type of the host.
     pub kind: u32,
-    /// Time of the latest start of the process; zero if it started long ago.
+    /// Time of the latest start of the process; zero if it is unknown or long ago.
     pub started: Nanos,
     /// Capacity relative to that of other hosts; zero if not specified.
     pub weight: f64,
--- a/crates/decision/src/api/log_event.rs
+++ b/crates/decision/src/api/log_event.rs
@@ -8,7 +8,7 @@
 pub enum LogEvent {
     /// Most counter calls fail or are too slow, so that most quota decisions are based on local knowledge.
     CounterDegraded,
-    /// Counter calls are answered in time again.
+    /// The counter replies in time again.
     CounterRecovered,
     /// Several consecutive attempts at one host failed.
     HostFailing {
--- a/crates/decision/src/api/settings.rs
+++ b/crates/decision/src/api/settings.rs
@@ -58,7 +58,7 @@
 pub struct Plan {
     /// Name of the plan, for display only.
     pub name: String,
-    /// Rate at which a customer's quota refills, in units per second; zero if there is no such quota.
+    /// Rate at which a customer's quota refills, in units per second; zero if the plan has no quota.
     pub rate: f64,
     /// Maximum of the quota in units.
     pub burst: f64,
--- a/crates/decision/src/engine.rs
+++ b/crates/decision/src/engine.rs
@@ -40,7 +40,7 @@
     }
 
     /// Advances the clock to `now`, or leaves it if `now` is earlier. The first call also starts the periodic
-    /// work.
+    /// removal of unused records and subscribes to the host list if that is polled.
     pub fn advance(&mut self, now: Nanos, actions: &mut Actions) {
         self.now = self.now.max(now);
         if self.is_started {
@@ -232,8 +232,8 @@
     }
 }
 
-/// Appends a fallback class and a fallback plan, which requests with an index out of range get: not
-/// idempotent, without a quota. Raises a limiter count of zero to one.
+/// Appends the fallback class, which is not idempotent, and the fallback plan, which has no quota. Requests with
+/// an index out of range get these. Raises a limiter count of zero to one.
 fn with_fallbacks(mut settings: Settings) -> Settings {
     settings.classes.push(Class {
         latency_objective: Nanos::MAX,
--- a/crates/decision/src/hosts/host.rs
+++ b/crates/decision/src/hosts/host.rs
@@ -1,4 +1,4 @@
-//! Per-host state: listing, attempts in flight and measurements.
+//! Per-host state: host list entry, attempts in flight and measurements.
 
 use super::latency::LatencyScore;
 use super::limits::initial_host_limit;
@@ -126,7 +126,7 @@
     /// Location of the earliest attempt that may have run; `None` if none has.
     pub(crate) first_run: Option<Location>,
     /// Random number in 0..1 that decides which host in slow start may be selected. Drawn once per attempt: a
-    /// new number for each search would raise the fraction of requests that hosts in slow start get.
+    /// new number for each selection would raise the fraction of requests that hosts in slow start get.
     pub(crate) slow_start_sample: f64,
 }
 
@@ -143,6 +143,6 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AttemptResult {
     pub(crate) outcome: Outcome,
-    /// Time from sending the attempt to its end.
+    /// Time from sending the attempt to its end, or to the start of a streamed answer.
     pub(crate) elapsed: Nanos,
 }
--- a/crates/decision/src/hosts/latency.rs
+++ b/crates/decision/src/hosts/latency.rs
@@ -42,7 +42,7 @@
         .min(MAX_LATENCY_SCORE)
 }
 
-/// Latency score of one host. The weight of its samples decays, so that the zone's score replaces an old one.
+/// Latency score of one host. The weight of its samples decays, so that the zone's score replaces a host's old one.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LatencyScore {
     /// Mean of the samples, with the weight that it had at `measured_at`.
--- a/crates/decision/src/hosts/limits.rs
+++ b/crates/decision/src/hosts/limits.rs
@@ -35,9 +35,9 @@
 }
 
 impl HostPool {
-    /// Returns whether the concurrency limit over all hosts is reached. Attempts that do not return keep
-    /// counting, as hosts would otherwise accumulate requests that no client waits for. The check is too
-    /// strict after a pause of the limiter.
+    /// Returns whether the concurrency limit over all hosts is reached. An attempt counts until its result
+    /// arrives, as hosts would otherwise accumulate requests that no client waits for. The check is too strict
+    /// after a pause of the limiter.
     pub(crate) fn is_full(&self, context: &Context) -> bool {
         let limit = self.concurrency_limit.value() * self.ready_capacity(context);
         self.in_flight as f64 >= limit.round().max(1.0)
--- a/crates/decision/src/hosts/pool.rs
+++ b/crates/decision/src/hosts/pool.rs
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Applies a host list. If discovery failed, schedules a new subscription where the list is polled.
+    /// Applies a host list. If discovery failed and the list is polled, schedules a new subscription.
     pub(crate) fn update_hosts(
         &mut self,
         mode: ListMode,
--- a/crates/decision/src/hosts/selection.rs
+++ b/crates/decision/src/hosts/selection.rs
@@ -9,8 +9,8 @@
 #[cfg(test)]
 mod tests;
 
-/// Exponent of the latency score, by which a host's share of the attempts is divided. The zone's score is
-/// multiplied in once more, as a zone has more samples than a host.
+/// Exponent of the latency score: a host's share of the attempts is divided by this power of its score. The score
+/// is first multiplied by the zone's once more, as a zone has more samples than a host.
 const LATENCY_EXPONENT: i32 = 2;
 
 /// Ready host that is considered for an attempt.
@@ -135,7 +135,7 @@
 }
 
 /// Returns whether the deduplication scope of the request allows a host: if an earlier attempt may have run,
-/// the host must drop its duplicates.
+/// the host must drop duplicates of that attempt.
 fn is_in_dedup_scope(host: &Host, requirements: &HostRequirements, class: &Class) -> bool {
     match (requirements.first_run, class.effect, class.dedup_scope) {
         (Some(location), Effect::IdempotentWithKey, DedupScope::Cell) => {
@@ -148,7 +148,7 @@
     }
 }
 
-/// Returns the fraction of all limiters that this one is not.
+/// Returns the number of other limiters as a fraction of all limiters, in 0..1.
 fn other_limiters_fraction(settings: &Settings) -> f64 {
     1.0 - 1.0 / f64::from(settings.limiters.count)
 }
--- a/crates/decision/src/hosts/slow_start.rs
+++ b/crates/decision/src/hosts/slow_start.rs
@@ -15,7 +15,7 @@
 const MIN_SAMPLE_WEIGHT: f64 = 2.0;
 
 /// Returns the slow-start progress of a host: the fraction of its full capacity that it has at least, in 0..=1.
-/// The result is 1.0 for a host past slow start, or whose start time is unknown.
+/// The result is 1.0 for a host that is past slow start or has a start time of zero.
 pub(super) fn progress(host: &Host, settings: &SlowStartSettings, now: Nanos) -> f64 {
     let age = now.saturating_sub(host.entry.started);
     let is_start_known = host.entry.started != 0;
--- a/crates/decision/src/lib.rs
+++ b/crates/decision/src/lib.rs
@@ -4,7 +4,7 @@
 //! time and the settings, and routes events to `lifecycle`, which tracks each request from its arrival to its
 //! final answer. `lifecycle` calls three modules that depend neither on it nor on each other: `admission`
 //! sheds load, `quota` keeps each customer's count, and `hosts` selects the host of an attempt. `primitives`
-//! holds generic building blocks that depend on neither requests nor hosts.
+//! holds general mechanisms that depend on neither requests nor hosts.
 //!
 //! `docs/design.md` gives the reasons and the conditions of each exception.
 
--- a/crates/decision/src/lifecycle/arrival.rs
+++ b/crates/decision/src/lifecycle/arrival.rs
@@ -111,7 +111,7 @@
             return self.quotas.decide_locally(&claim, context);
         }
         let timeout = (time_to_objective as f64 * COUNTER_WAIT_OBJECTIVE_FRACTION) as Nanos;
-        let decision = self.quotas.claim(id, &mut claim, timeout, context);
+        let decision = self.quotas.claim_units(id, &mut claim, timeout, context);
         if let Some(request) = self.requests.get_mut(id) {
             request.claim = claim;
         }
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Handles the timeout of a request's wait for the counter: the request is decided without the reply.
+    /// Handles the timeout of a request's wait for the counter: decides on the request without the reply.
     pub(crate) fn on_counter_wait_timeout(&mut self, id: RequestId, context: &mut Context) {
         self.decide(id, DecisionBasis::LocalKnowledge, context);
     }
--- a/crates/decision/src/lifecycle/attempt.rs
+++ b/crates/decision/src/lifecycle/attempt.rs
@@ -26,6 +26,6 @@
     pub(crate) result: AttemptResult,
     /// Whether the request is finished, by this outcome or before it.
     pub(crate) is_request_finished: bool,
-    /// Actual units of a request whose units were an estimate; zero if not reported.
+    /// True units of a request whose units were an estimate; zero if not reported.
     pub(crate) true_units: f64,
 }
--- a/crates/decision/src/lifecycle/completion.rs
+++ b/crates/decision/src/lifecycle/completion.rs
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Corrects the customer's count to the request's actual units, up to the larger of `largest_request` and
+    /// Corrects the customer's count to the request's true units, up to the larger of `largest_request` and
     /// the claimed units.
     fn settle_units(&mut self, id: RequestId, end: &AttemptEnd, context: &mut Context) {
         let units = &context.settings().units;
--- a/crates/decision/src/lifecycle/dispatch.rs
+++ b/crates/decision/src/lifecycle/dispatch.rs
@@ -13,8 +13,8 @@
 pub(super) enum Dispatch {
     /// An attempt was sent, or the request already has its final answer.
     Sent,
-    /// The customer's ceiling or concurrency limit, an expired deduplication window, or the hosts of the
-    /// request's deduplication scope prevent an attempt. Other requests may be dispatched.
+    /// The customer's hard ceiling, its limit on concurrent attempts, an expired deduplication window, or the
+    /// hosts of the request's deduplication scope prevent an attempt. Other requests may be dispatched.
     RequestLimited,
     /// No host has capacity for any request.
     NoHost,
@@ -57,8 +57,8 @@
         Dispatch::Sent
     }
 
-    /// Returns whether the customer's ceiling or concurrency limit, or the deduplication window, forbids an
-    /// attempt. Ceiling and concurrency limit apply to the first attempt only.
+    /// Returns whether the customer's hard ceiling, its limit on concurrent attempts, or the deduplication window
+    /// forbids an attempt. The ceiling and the limit are checked only for the first attempt.
     fn is_request_limited(&mut self, request: &PendingRequest, context: &Context) -> bool {
         let is_first = request.attempts == 0;
         if is_first && self.quotas.is_ceiling_exhausted(&request.claim, context) {
@@ -114,8 +114,8 @@
         });
     }
 
-    /// Records an attempt for the customer's ceiling and concurrency limit. Adds what a first attempt earns to
-    /// the retry budget, and caps the budget.
+    /// Records an attempt against the customer's hard ceiling and its limit on concurrent attempts. Adds what a
+    /// first attempt earns to the retry budget, and caps the budget.
     fn record_attempt_cost(&mut self, request: &PendingRequest, context: &Context) {
         if request.attempts == 0 {
             self.quotas.record_first_attempt(&request.claim, context);
--- a/crates/decision/src/lifecycle/request.rs
+++ b/crates/decision/src/lifecycle/request.rs
@@ -11,7 +11,7 @@
 pub(super) enum RequestState {
     /// Waiting for the counter's reply.
     AwaitingCounter,
-    /// Admitted; waiting for a host, for the customer's ceiling or for its limit on concurrent attempts.
+    /// Admitted; waiting for a host, for the customer's hard ceiling or for its limit on concurrent attempts.
     Queued,
     /// An attempt is in flight.
     InFlight,
--- a/crates/decision/src/quota/call_sampler.rs
+++ b/crates/decision/src/quota/call_sampler.rs
@@ -1,5 +1,5 @@
-//! Sampling of the requests that call the counter. More calls than it can answer in time would lengthen its
-//! queue.
+//! Sampling of the requests that call the counter. More calls than it can reply to in time would lengthen
+//! its queue.
 
 use super::counter_calls::CounterReply;
 use crate::api::{LogEvent, Nanos, Outcome};
--- a/crates/decision/src/quota/counter_calls.rs
+++ b/crates/decision/src/quota/counter_calls.rs
@@ -24,7 +24,7 @@
 pub(super) struct CounterCall {
     pub(super) key: WindowKey,
     pub(super) amount: f64,
-    /// Request whose decision depends on the reply; `None` for corrections and reads.
+    /// Request whose quota decision depends on the reply; `None` for corrections and reads.
     pub(super) request: Option<RequestId>,
     /// Amount that the counter had confirmed to this limiter at the time of the call.
     pub(super) confirmed: f64,
@@ -51,7 +51,7 @@
     }
 }
 
-/// Calls without a reply by the name of their count. Replies for the same name come in the order of the calls.
+/// Calls without a reply, by the name of their count. Replies for the same name come in the order of the calls.
 #[derive(Debug, Default)]
 pub(super) struct PendingCalls {
     calls: BTreeMap<String, VecDeque<CounterCall>>,
@@ -62,7 +62,8 @@
         self.calls.entry(name).or_default().push_back(call);
     }
 
-    /// Removes and returns the call that a reply to `name` belongs to. `None` if no call is pending.
+    /// Removes and returns the oldest pending call for the count `name`, which the next reply for it belongs to.
+    /// `None` if no call is pending.
     pub(super) fn remove_oldest(&mut self, name: &str) -> Option<CounterCall> {
         self.calls.get_mut(name)?.pop_front()
     }
--- a/crates/decision/src/quota/counts.rs
+++ b/crates/decision/src/quota/counts.rs
@@ -38,7 +38,7 @@
         self.total + self.pending + self.unsent
     }
 
-    /// Resets and returns the unsent amount, which the next call must include.
+    /// Resets the unsent amount to zero and returns it. The next call must include the returned amount.
     pub(super) fn reset_unsent(&mut self) -> f64 {
         std::mem::take(&mut self.unsent)
     }
--- a/crates/decision/src/quota/decision.rs
+++ b/crates/decision/src/quota/decision.rs
@@ -21,7 +21,7 @@
 impl QuotaTracker {
     /// Returns the decision on a new request. If it depends on the counter, the request waits for up to
     /// `timeout` and the claim's `charge` is set.
-    pub(crate) fn claim(
+    pub(crate) fn claim_units(
         &mut self,
         id: RequestId,
         claim: &mut QuotaClaim,
@@ -81,8 +81,8 @@
             .sample(quota_fraction, frequency_of(claim, window, context))
     }
 
-    /// Returns the decision by the sliding window estimate once the counter's total is known. The total of the
-    /// previous window is read once, and only if the decision depends on it.
+    /// Returns the decision on a request after the counter's reply, by the sliding window estimate. The total of
+    /// the previous window is read once, and only if the decision depends on it.
     pub(crate) fn decide(
         &mut self,
         id: RequestId,
@@ -95,7 +95,7 @@
         let Some(charge) = claim.charge_in(record.window) else {
             return self.decide_locally(claim, context);
         };
-        // Only the request's own units of the added amount are its use.
+        // Of the added amount, only the request's own units are its use.
         let total = record.current.total - charge.amount_for_others(claim.units);
         if record.is_over_quota(record.previous.total, total, &window) {
             return QuotaDecision::OverQuota;
@@ -159,7 +159,7 @@
         QuotaDecision::Pass
     }
 
-    /// Returns the fraction of the requests that are decided without the counter.
+    /// Returns the fraction of the requests that are decided on without the counter.
     fn local_ratio(&self, context: &Context) -> f64 {
         if context.settings().counter.is_available {
             1.0 - self.call_ratio()
@@ -197,9 +197,9 @@
     }
 }
 
-/// Estimates the use of an infrequent customer, as a fraction of its quota, from the units that recently
-/// arrived at this limiter. Even where its share is too small for tokens, this shows a customer far over its
-/// quota.
+/// Returns the estimated use of an infrequent customer, as a fraction of its quota, based on the units that
+/// recently arrived at this limiter. The estimate shows a customer far over its quota even where this limiter's
+/// share of the quota is too small for tokens.
 fn estimated_use(record: &CustomerRecord, claim: &QuotaClaim, plan: &Plan) -> f64 {
     let even_share = plan.rate * RECENT_UNITS_LIFETIME_SECONDS / f64::from(claim.spread);
     let expected_units = even_share + ASSUMED_USE_UNITS;
--- a/crates/decision/src/quota/limits.rs
+++ b/crates/decision/src/quota/limits.rs
@@ -1,4 +1,4 @@
-//! Limits on dispatch: the cap on concurrent attempts and the hard ceiling. Each limiter enforces only its
+//! Limits on dispatch: the limit on concurrent attempts and the hard ceiling. Each limiter enforces only its
 //! share; otherwise every limiter would grant the full amount.
 
 use super::{QuotaClaim, QuotaTracker};
@@ -6,15 +6,16 @@
 use crate::context::Context;
 
 impl QuotaTracker {
-    /// Returns whether the customer's cap on concurrent attempts allows one more.
+    /// Returns whether the customer's limit on concurrent attempts allows one more.
     pub(crate) fn has_attempt_capacity(&self, claim: &QuotaClaim, context: &Context) -> bool {
         let plan = context.plan(claim.plan);
-        let cap = plan.max_concurrent_attempts;
+        let max_attempts = plan.max_concurrent_attempts;
         let Some(record) = self.known_customer(claim.customer) else {
             return true;
         };
         let share = record.local_share(claim.spread, plan.burst);
-        cap == 0 || f64::from(record.attempts_in_flight) < (f64::from(cap) * share).ceil()
+        max_attempts == 0
+            || f64::from(record.attempts_in_flight) < (f64::from(max_attempts) * share).ceil()
     }
 
     /// Returns whether this limiter's share of the hard ceiling has fewer tokens than the claim's units.
@@ -43,7 +44,7 @@
         record.begin_attempt();
     }
 
-    /// Records a retry, which counts only against the cap on concurrent attempts.
+    /// Records a retry, which counts only against the limit on concurrent attempts.
     pub(crate) fn record_retry(&mut self, claim: &QuotaClaim) {
         self.customer(claim.customer).begin_attempt();
     }
--- a/crates/decision/src/quota/record.rs
+++ b/crates/decision/src/quota/record.rs
@@ -24,7 +24,7 @@
     pub(super) own: f64,
     /// Whether the counter has replied with the final total.
     pub(super) is_read: bool,
-    /// Requests that wait for this reply.
+    /// Requests that wait for the final total.
     pub(super) awaiting_read: Vec<RequestId>,
 }
 
@@ -92,8 +92,8 @@
     ///
     /// The estimate is the previous total, weighted by the overlap of its window with the sliding window, plus
     /// the current total. The limit is the credit, plus the refill so far, plus the same weighted previous
-    /// total. It follows the customer's use: with a fixed limit, a customer that has spent its burst would get
-    /// as much as an idle one.
+    /// total. The limit follows the customer's use: with a fixed limit, a customer that has spent its burst would
+    /// get as much as an idle one.
     pub(super) fn is_over_quota(
         &self,
         previous_total: f64,
@@ -122,8 +122,8 @@
             .max(self.previous.credit + window.refill)
     }
 
-    /// Returns this limiter's share of the customer's use, in 0..=1. The share is even across `spread` limiters
-    /// with the weight of `units`, and is adjusted by the known totals.
+    /// Returns an estimate of this limiter's share of the customer's use, in 0..=1: its own part of the known
+    /// totals, mixed with an even share across `spread` limiters that has a weight of `units`.
     pub(super) fn local_share(&self, spread: u32, units: f64) -> f64 {
         let own = self.current.own + self.previous.own;
         let all = self.current.total + self.previous.total;
--- a/crates/decision/src/quota/tracker.rs
+++ b/crates/decision/src/quota/tracker.rs
@@ -103,8 +103,8 @@
         self.pending_calls.push(name, call);
     }
 
-    /// Adds `units`, negative for a refund, to the count that a claim was charged to. Does nothing for a claim
-    /// that was not charged.
+    /// Adds `units`, multiplied by the charge's weight and negative for a refund, to the count that a claim was
+    /// charged to. Does nothing for a claim that was not charged.
     pub(crate) fn adjust(
         &mut self,
         claim: &QuotaClaim,
--- a/crates/decision/src/snapshot.rs
+++ b/crates/decision/src/snapshot.rs
@@ -1,8 +1,8 @@
 //! Snapshots, which pass the measurements of a decision engine to the limiter that succeeds it.
 //!
-//! A snapshot contains no requests, attempts or tokens that may be granted only once; these stay with the
-//! engine that holds them. Each part of the engine writes and reads its own section, and the engine combines
-//! them.
+//! A snapshot contains neither requests nor attempts, and no tokens of hard ceilings or of the retry budget,
+//! which may be granted only once. All of these stay with the engine that holds them. Each part of the engine
+//! writes and reads its own section, and the engine combines them.
 
 mod array_form;
 mod bounds;
