--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
-//! A quota-keeping request limiter: the decisions, sans I/O (see [`choice::DecisionEngine`] and, for its types,
-//! [`api`]), and the program round them ([`net`]).
+//! A quota-keeping request limiter: the sans-I/O decision engine ([`decision::DecisionEngine`], with its types in
+//! [`api`]) and the program that runs it ([`net`]).
 
-/// The decision module, by the name that its tests know it by.
-pub use quartzcleat_decision as choice;
+/// The sans-I/O decision engine.
+pub use quartzcleat_decision as decision;
 pub use quartzcleat_decision::api;
 
 pub mod cli;
@@ -10,7 +10,7 @@
 pub mod net;
 pub mod simulator;
 
-/// The examples of the README, compiled and run with the tests.
+/// Compiles and runs the code examples of the README as doctests.
 #[doc = include_str!("../README.md")]
 #[cfg(doctest)]
 pub struct Readme;
