--- a/crates/decision/src/api/log_event.rs
+++ b/crates/decision/src/api/log_event.rs
@@ -6,9 +6,9 @@
 /// A condition that operators should know about. The caller decides on its text and its destination.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogEvent {
-    /// Most counter calls fail or are too slow, so that most verdicts are based on local knowledge.
+    /// Most counter calls fail or are too slow, so that most quota decisions are based on local knowledge.
     CounterDegraded,
-    /// Counter calls are answered in time again.
+    /// The counter replies in time again.
     CounterRecovered,
     /// Several consecutive attempts at one host failed.
     HostFailing {
--- a/crates/decision/src/lifecycle/attempt.rs
+++ b/crates/decision/src/lifecycle/attempt.rs
@@ -15,7 +15,7 @@
 pub(super) struct InFlightAttempt {
     pub(super) sent: SentAttempt,
     pub(super) customer: CustomerId,
-    /// Whether the streamed response has started. The attempt then no longer counts against the host, but still
+    /// Whether the streamed answer has started. The attempt then no longer counts against the host, but still
     /// counts against the customer's limit on concurrent attempts.
     pub(super) has_stream_started: bool,
 }
@@ -26,6 +26,6 @@
     pub(crate) result: AttemptResult,
     /// Whether the request is finished, by this outcome or before it.
     pub(crate) is_request_finished: bool,
-    /// Actual units of a request whose units were an estimate; zero if not reported.
+    /// True units of a request whose units were an estimate; zero if not reported.
     pub(crate) true_units: f64,
 }
--- a/crates/decision/src/lifecycle/release.rs
+++ b/crates/decision/src/lifecycle/release.rs
@@ -11,7 +11,7 @@
 /// Maximum queueing time as a fraction of the latency objective. A rejected client is asked to retry after the
 /// same time.
 const QUEUE_OBJECTIVE_FRACTION: f64 = 0.25;
-/// Minimum time left until a queued request's objective, as a multiple of the mean response time of its class.
+/// Minimum time left until a queued request's objective, as a multiple of the mean answer time of its class.
 /// With less time left, the request is rejected.
 const MIN_REMAINING_LATENCIES: u64 = 3;
 /// Lower bound of a request's work, which is used as a divisor, in seconds.
@@ -38,7 +38,7 @@
     /// Dispatches queued requests by descending weight rate. Finishes those that can no longer meet their
     /// objective, and new ones that are past their maximum queueing time.
     pub(crate) fn release_queue(&mut self, context: &mut Context) {
-        let queued = self.take_queue_by_weight_rate(context);
+        let queued = self.remove_queued_by_weight_rate(context);
         // If hosts are known but none is ready, new requests do not wait. Before the first host list, they do.
         let has_no_ready_host = !self.hosts.is_empty() && self.hosts.ready_count() == 0;
         let mut capacity = HostCapacity::Available;
@@ -67,9 +67,9 @@
         self.queue.set_timer(context);
     }
 
-    /// Empties the queue and returns its ids by descending weight rate, in queue order among equals.
-    fn take_queue_by_weight_rate(&mut self, context: &Context) -> Vec<RequestId> {
-        let mut queued = self.queue.take_all();
+    /// Removes all ids from the queue and returns them by descending weight rate, in queue order among equals.
+    fn remove_queued_by_weight_rate(&mut self, context: &Context) -> Vec<RequestId> {
+        let mut queued = self.queue.remove_all();
         queued.sort_by_cached_key(|id| {
             let request = self.requests.get(*id);
             // Positive floats order like their bit patterns.
@@ -78,7 +78,7 @@
         queued
     }
 
-    /// Returns whether too little time is left for a response within the objective.
+    /// Returns whether too little time is left for an answer within the objective.
     fn is_too_late(&self, request: &PendingRequest, context: &Context) -> bool {
         let required_time = MIN_REMAINING_LATENCIES * self.expected_latency(request);
         context.now() + required_time > request.objective_deadline(context)
@@ -93,7 +93,7 @@
         (weight / work).max(MIN_WEIGHT_RATE)
     }
 
-    /// Returns the mean response time of the request's class; zero before its first response.
+    /// Returns the mean answer time of the request's class; zero before its first answer.
     pub(super) fn expected_latency(&self, request: &PendingRequest) -> Nanos {
         self.hosts.mean_latency(request.class())
     }
