--- a/crates/lease/src/acceptor.rs
+++ b/crates/lease/src/acceptor.rs
@@ -1,6 +1,6 @@
-//! An acceptor: the ballot it has promised and the proposal it has accepted for each task, in memory only.
+//! The acceptor, which keeps the promised ballot and the accepted proposal of each task in memory only.
 //!
-//! It knows neither lease holders nor the targets of their operations.
+//! An acceptor knows neither who holds a lease nor the targets of the holders' operations.
 
 use crate::{Ballot, Body, LeaseTiming, Message, Nanos};
 use std::collections::BTreeMap;
@@ -8,11 +8,11 @@
 #[cfg(test)]
 mod tests;
 
-/// The most tasks that an acceptor keeps. Messages about further tasks are ignored, so that names of tasks that do not
-/// exist cannot fill its memory.
+/// The maximum number of tasks that an acceptor stores. Messages about further tasks are ignored, so that messages with
+/// invented task names cannot exhaust its memory.
 const MAX_TASKS: usize = 256;
 
-/// A proposal that was accepted, until it expires on this process's clock.
+/// An accepted proposal, valid until `expires_at` on this process's clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct AcceptedProposal {
     ballot: Ballot,
@@ -26,13 +26,13 @@
 }
 
 impl TaskState {
-    /// The accepted proposal, where it is another proposer's or another incarnation's than the ballot.
+    /// Returns the accepted proposal if it belongs to another proposer, or to another incarnation, than `ballot`.
     fn accepted_from_other(&self, ballot: Ballot) -> Option<AcceptedProposal> {
         self.accepted
             .filter(|accepted| !accepted.ballot.has_same_owner(ballot))
     }
 
-    fn expire(&mut self, now: Nanos) {
+    fn remove_expired(&mut self, now: Nanos) {
         self.accepted = self.accepted.filter(|accepted| now < accepted.expires_at);
     }
 
@@ -43,9 +43,11 @@
         }
     }
 
-    /// A ballot must be strictly greater than the promised one: otherwise two processes of one proposer that reached the
-    /// same round could both be promised it. A rejected ballot is not promised anything: otherwise many proposers would
-    /// raise the ballot above a holder that is about to renew.
+    /// Handles a prepare message.
+    ///
+    /// The ballot must be strictly greater than the promised one. Otherwise two processes of one proposer that reached
+    /// the same round could both receive a promise for it. A rejected ballot does not raise the promised ballot.
+    /// Otherwise many competing proposers could raise it above the ballot of a holder that is about to renew.
     fn prepare(&mut self, now: Nanos, ballot: Ballot) -> Body {
         let other = self.accepted_from_other(ballot);
         if ballot <= self.promised || other.is_some() {
@@ -55,12 +57,13 @@
         Body::Promise
     }
 
+    /// Handles a propose message; `duration` is how long the accepted proposal stays valid.
     fn propose(&mut self, now: Nanos, ballot: Ballot, duration: Nanos) -> Body {
         let other = self.accepted_from_other(ballot);
         if ballot < self.promised || other.is_some() {
             return self.reject(now, other);
         }
-        // A proposal that is repeated, however late, expires no later than when it was first accepted.
+        // A repeated proposal, however late it arrives, does not extend the expiry set when it was first accepted.
         if self
             .accepted
             .is_none_or(|accepted| accepted.ballot != ballot)
@@ -74,7 +77,10 @@
         Body::Accepted
     }
 
-    /// Acceptors may have accepted different ballots of one holder: releasing the latest releases those before it.
+    /// Handles a release message.
+    ///
+    /// Acceptors may have accepted different ballots of one holder, so that the release of a ballot also releases the
+    /// holder's lower ballots.
     fn release(&mut self, ballot: Ballot) {
         if self.accepted_from_other(ballot).is_none() {
             self.accepted = self.accepted.filter(|accepted| accepted.ballot > ballot);
@@ -82,7 +88,7 @@
     }
 }
 
-/// The acceptor of one process, for all tasks.
+/// The acceptor of one process, which serves the leases of all tasks.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Acceptor {
     timing: LeaseTiming,
@@ -91,10 +97,10 @@
 }
 
 impl Acceptor {
-    /// Creates the acceptor of a process that starts now.
+    /// Creates the acceptor of a process that starts at `now`.
     ///
-    /// It stays silent until every proposal that a previous process may have accepted has expired; answering earlier
-    /// could make a second holder.
+    /// It sends no response until every proposal that the previous process may have accepted has expired: an earlier
+    /// response could allow a second holder.
     pub fn new(timing: LeaseTiming, now: Nanos) -> Self {
         Acceptor {
             timing,
@@ -103,13 +109,16 @@
         }
     }
 
-    /// Handles a proposer's message and returns the response, if there is one.
+    /// Handles a proposer's message and returns the response.
+    ///
+    /// Returns `None` after a release, for the message kinds that acceptors send, during the silence after the start,
+    /// and for a further task when the maximum number of tasks is stored.
     pub fn handle(&mut self, now: Nanos, message: &Message) -> Option<Body> {
         if now < self.silent_until || !self.has_capacity_for(&message.task) {
             return None;
         }
         let task = self.tasks.entry(message.task.clone()).or_default();
-        task.expire(now);
+        task.remove_expired(now);
         match message.body {
             Body::Prepare => Some(task.prepare(now, message.ballot)),
             Body::Propose => Some(task.propose(now, message.ballot, self.timing.duration)),
--- a/crates/lease/src/acceptor/tests.rs
+++ b/crates/lease/src/acceptor/tests.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn rejected_proposer_does_not_outbid_the_holder_that_renews() {
+fn rejected_ballot_does_not_prevent_the_holder_from_renewing() {
     let timing = LeaseTiming {
         duration: 1_000,
         drift_per_mille: 10,
@@ -24,7 +24,7 @@
     assert_eq!(
         acceptor.handle(0, &message(1, 0, Body::Prepare)),
         None,
-        "silent after its start"
+        "an acceptor is silent after its start"
     );
     let now = timing.restart_silence();
     assert_eq!(
@@ -49,6 +49,6 @@
     assert_eq!(
         acceptor.handle(now, &message(2, 0, Body::Prepare)),
         Some(Body::Promise),
-        "the holder renews"
+        "the holder can renew"
     );
 }
--- a/crates/lease/src/envelope.rs
+++ b/crates/lease/src/envelope.rs
@@ -1,19 +1,20 @@
-//! The envelope of datagrams between limiters: version, kind, sender, sequence number, length and a keyed check.
+//! The envelope of datagrams between limiters: version, kind, sender, sequence number, length, payload and message
+//! authentication code (MAC).
 //!
-//! A datagram that is truncated, forged or of an unsupported version does not open.
+//! [`open`] rejects a datagram that is truncated, forged or of an unsupported version.
 
 use thiserror::Error;
 
-/// The version that is written. Datagrams of the version before and of the next one are read too.
+/// The version of the envelopes that this process writes. It also reads the previous version and the next one.
 pub const VERSION: u8 = 1;
 
 const MAX_VERSION_DISTANCE: u8 = 1;
 const HEADER_BYTES: usize = 1 + 1 + 4 + 8 + 2;
-const CHECK_BYTES: usize = 16;
-/// The context of the key derivation. Changing it makes all limiters of other versions strangers.
+const MAC_BYTES: usize = 16;
+/// The context of the key derivation. Limiters with different contexts reject each other's datagrams.
 const KEY_CONTEXT: &str = "quartzcleat between limiters v1";
 
-/// The secret key that all limiters share.
+/// The secret key that all limiters share, with which datagrams are authenticated.
 #[derive(Clone)]
 pub struct SharedKey([u8; 32]);
 
@@ -23,63 +24,63 @@
         SharedKey(blake3::derive_key(KEY_CONTEXT, secret))
     }
 
-    fn check(&self, bytes: &[u8]) -> [u8; CHECK_BYTES] {
-        let mut check = [0; CHECK_BYTES];
-        check.copy_from_slice(&blake3::keyed_hash(&self.0, bytes).as_bytes()[..CHECK_BYTES]);
-        check
+    fn mac(&self, bytes: &[u8]) -> [u8; MAC_BYTES] {
+        let mut mac = [0; MAC_BYTES];
+        mac.copy_from_slice(&blake3::keyed_hash(&self.0, bytes).as_bytes()[..MAC_BYTES]);
+        mac
     }
 }
 
-/// A payload with its sender and order.
+/// A payload with its kind, sender and sequence number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Envelope<'a> {
-    /// Which subsystem's message the payload is.
+    /// The subsystem whose message the payload is.
     pub kind: u8,
     /// The sender's index among all limiters.
     pub sender: u32,
-    /// The sequence number, greater than in every datagram that this sender sent before.
+    /// The sequence number, greater than that of every earlier datagram of this sender.
     pub sequence: u64,
-    /// The message.
+    /// The encoded message of the subsystem.
     pub payload: &'a [u8],
 }
 
-/// Why a datagram was dropped.
+/// The reason why a datagram is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Error)]
 pub enum EnvelopeError {
     /// The datagram's length differs from the one in its header.
     #[error("the length is not the one in the header")]
     LengthMismatch,
-    /// The version is neither this one nor a neighbour of it.
+    /// The version differs from [`VERSION`] by more than 1.
     #[error("unsupported version")]
     UnsupportedVersion,
-    /// The check was not made with the shared key.
+    /// The MAC was not computed with the shared key.
     #[error("not authenticated by the shared key")]
     Unauthenticated,
 }
 
-/// Encodes an envelope and signs it with the key. Integers are big-endian.
+/// Encodes an envelope and appends its MAC. Integers are big-endian.
 pub fn seal(key: &SharedKey, envelope: &Envelope<'_>) -> Vec<u8> {
     let payload = envelope.payload;
-    let mut bytes = Vec::with_capacity(HEADER_BYTES + payload.len() + CHECK_BYTES);
+    let mut bytes = Vec::with_capacity(HEADER_BYTES + payload.len() + MAC_BYTES);
     bytes.extend([VERSION, envelope.kind]);
     bytes.extend(envelope.sender.to_be_bytes());
     bytes.extend(envelope.sequence.to_be_bytes());
     bytes.extend((payload.len() as u16).to_be_bytes());
     bytes.extend(payload);
-    let check = key.check(&bytes);
-    bytes.extend(check);
+    let mac = key.mac(&bytes);
+    bytes.extend(mac);
     bytes
 }
 
-/// Verifies and decodes an envelope.
+/// Verifies the MAC of a datagram and decodes its envelope.
 ///
 /// # Errors
-/// Where the datagram is to be dropped; the variant says why.
+/// An [`EnvelopeError`] that states why the datagram is to be dropped.
 pub fn open<'a>(key: &SharedKey, bytes: &'a [u8]) -> Result<Envelope<'a>, EnvelopeError> {
-    let (signed, check) = bytes
-        .split_last_chunk::<CHECK_BYTES>()
+    let (authenticated, mac) = bytes
+        .split_last_chunk::<MAC_BYTES>()
         .ok_or(EnvelopeError::LengthMismatch)?;
-    let (header, payload) = signed
+    let (header, payload) = authenticated
         .split_first_chunk::<HEADER_BYTES>()
         .ok_or(EnvelopeError::LengthMismatch)?;
     if header[0].abs_diff(VERSION) > MAX_VERSION_DISTANCE {
@@ -89,7 +90,7 @@
     if payload.len() != length {
         return Err(EnvelopeError::LengthMismatch);
     }
-    if !equal_in_constant_time(*check, key.check(signed)) {
+    if !equal_in_constant_time(*mac, key.mac(authenticated)) {
         return Err(EnvelopeError::Unauthenticated);
     }
     let mut sender = [0; 4];
@@ -104,11 +105,12 @@
     })
 }
 
-/// Compares two checks as `blake3` compares hashes, so that the time taken does not show how many bytes agree.
-fn equal_in_constant_time(left: [u8; CHECK_BYTES], right: [u8; CHECK_BYTES]) -> bool {
-    let padded = |check: [u8; CHECK_BYTES]| {
+/// Returns whether two MACs are equal. The comparison of [`blake3::Hash`] takes constant time, so that the time taken
+/// does not reveal how many bytes agree.
+fn equal_in_constant_time(left: [u8; MAC_BYTES], right: [u8; MAC_BYTES]) -> bool {
+    let padded = |mac: [u8; MAC_BYTES]| {
         let mut hash = [0; 32];
-        hash[..CHECK_BYTES].copy_from_slice(&check);
+        hash[..MAC_BYTES].copy_from_slice(&mac);
         blake3::Hash::from(hash)
     };
     padded(left) == padded(right)
--- a/crates/lease/src/fencing.rs
+++ b/crates/lease/src/fencing.rs
@@ -1,7 +1,8 @@
 //! Fencing at the target of a lease holder's operations.
 //!
-//! No clock can stop a holder whose process is paused in the middle of an operation, nor an operation that is delayed on
-//! its way. The target therefore remembers the highest token that it has admitted and rejects lower ones.
+//! The expiry of a lease stops neither a holder whose process is paused in the middle of an operation nor an operation
+//! that is delayed in transit. The target therefore stores the highest token that it has admitted and rejects lower
+//! ones.
 
 use crate::FencingToken;
 use thiserror::Error;
@@ -13,7 +14,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct HighestToken(FencingToken);
 
-/// An operation's token is lower than one that the target has already admitted.
+/// The error for an operation whose token is lower than one that the target has already admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("a later lease holder has acted: its fencing token is of round {}", highest.round)]
 pub struct StaleToken {
@@ -22,10 +23,10 @@
 }
 
 impl HighestToken {
-    /// Admits an operation by its token.
+    /// Admits an operation with a token that is at least the highest one so far.
     ///
     /// # Errors
-    /// [`StaleToken`] where a higher token was admitted before: the operation must not take effect.
+    /// [`StaleToken`] if a higher token was admitted before; the operation must not take effect.
     pub fn admit(&mut self, token: FencingToken) -> Result<(), StaleToken> {
         if token < self.0 {
             return Err(StaleToken { highest: self.0 });
@@ -35,21 +36,22 @@
     }
 }
 
-/// Why an operation does not begin.
+/// The reason why an operation may not begin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum BeginError {
-    /// A later holder has acted, so the operation must never begin.
+    /// A later holder has acted, so that the operation must never begin.
     #[error(transparent)]
     Stale(#[from] StaleToken),
-    /// Another operation is in progress; try again when it has ended.
+    /// Another operation is in progress; the caller tries again when it has ended.
     #[error("another operation is in progress")]
     InProgress,
 }
 
-/// Admits one operation at a time, in the order of their tokens.
+/// A fence that admits one operation at a time, in the order of the tokens.
 ///
-/// Tokens alone are not enough for operations that take time: one that its holder abandoned on the way may arrive just
-/// before the next holder's first. Both come in the order of their tokens and would run at the same time.
+/// Tokens alone do not suffice for operations that take time: an operation that its holder abandoned in transit may
+/// arrive just before the next holder's first operation. Both arrive in the order of their tokens and would run at the
+/// same time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ExclusiveFence {
     highest: HighestToken,
@@ -57,10 +59,11 @@
 }
 
 impl ExclusiveFence {
-    /// Begins an operation.
+    /// Begins an operation, which the caller ends with [`ExclusiveFence::end`].
     ///
     /// # Errors
-    /// [`BeginError::InProgress`] where the caller has to wait, [`BeginError::Stale`] where the token is too low.
+    /// [`BeginError::InProgress`] if another operation has not ended yet, [`BeginError::Stale`] if a higher token was
+    /// admitted before.
     pub fn begin(&mut self, token: FencingToken) -> Result<(), BeginError> {
         if self.in_progress {
             return Err(BeginError::InProgress);
--- a/crates/lease/src/fencing/tests.rs
+++ b/crates/lease/src/fencing/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the fence that admits one operation at a time.
+//! Tests of [`ExclusiveFence`].
 
 use super::*;
 
@@ -22,6 +22,6 @@
     assert_eq!(
         fence.begin(token(2)),
         Ok(()),
-        "a rejected operation is not in progress"
+        "a rejected operation does not count as in progress"
     );
 }
--- a/crates/lease/src/guard.rs
+++ b/crates/lease/src/guard.rs
@@ -1,20 +1,20 @@
-//! Permission for single operations while a lease is held.
+//! The guard that permits single operations while a lease is held.
 
 use crate::{FencingToken, Nanos};
 
-/// A lease that is held at this moment. It is taken from the proposer anew for each operation.
+/// A lease that was held when the guard was created. Each operation requires a new guard from the proposer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Guard {
     token: FencingToken,
     expires_at: Nanos,
 }
 
-/// An operation that may start now.
+/// An operation that may start at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct PermittedOperation {
     /// The fencing token that the operation's target checks.
     pub token: FencingToken,
-    /// When the operation must have ended or been abandoned, on this process's clock.
+    /// The time, on this process's clock, by which the operation must have ended or been abandoned.
     pub deadline: Nanos,
 }
 
@@ -23,12 +23,13 @@
         Guard { token, expires_at }
     }
 
-    /// The fencing token, which stays the same for as long as one holder renews its lease.
+    /// Returns the fencing token, which does not change for as long as the holder renews its lease.
     pub fn token(&self) -> FencingToken {
         self.token
     }
 
-    /// Permits an operation that takes at most `max_duration`, provided that it ends before the lease expires.
+    /// Permits an operation that takes at most `max_duration`. Returns `None` unless it would end before the lease
+    /// expires.
     pub fn permit(&self, now: Nanos, max_duration: Nanos) -> Option<PermittedOperation> {
         let deadline = now.checked_add(max_duration)?;
         (deadline < self.expires_at).then_some(PermittedOperation {
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -1,12 +1,12 @@
-//! Leases for fleet-wide tasks: at most one limiter at a time may act for the whole fleet.
+//! Leases for fleet-wide tasks: at most one limiter at a time holds the lease of a task and acts for the whole fleet.
 //!
-//! The protocol is `PaxosLease` (Trencséni, Gazsó and Reinhardt, 2012). A [`Proposer`] asks a fixed, odd set of
-//! [`Acceptor`]s, which keep their state in memory only. Every operation of a lease holder carries a [`FencingToken`]
-//! that only grows and that the target checks, and a [`Guard`] refuses to start an operation that may outlive the
-//! lease.
+//! The protocol is `PaxosLease` (Trencséni, Gazsó and Reinhardt, 2012). A [`Proposer`] sends its proposals to a fixed,
+//! odd number of [`Acceptor`]s, which keep their state in memory only. Every operation of a lease holder carries a
+//! [`FencingToken`], which is greater for each later holder and which the target checks. A [`Guard`] permits no
+//! operation that may outlive the lease.
 //!
-//! The crate has no sockets, files or clock: `now` is the monotonic clock of the process, passed in with each event.
-//! `docs/design-leases.md` gives the reasons for the design.
+//! The crate uses no sockets, files or clock: `now` is the time on the monotonic clock of the process, passed in with
+//! each event. `docs/design-leases.md` explains the design.
 
 mod acceptor;
 mod envelope;
--- a/crates/lease/src/message.rs
+++ b/crates/lease/src/message.rs
@@ -3,9 +3,10 @@
 use crate::Nanos;
 use thiserror::Error;
 
-/// The longest encoded message in bytes; a longer datagram is dropped without being decoded.
+/// The maximum length of an encoded message, in bytes; a longer datagram is dropped without being decoded.
 pub const MAX_MESSAGE_BYTES: usize = 256;
 
+/// The maximum length of a task's name, in bytes.
 const MAX_TASK_BYTES: usize = 64;
 
 const KIND_PREPARE: u8 = 1;
@@ -15,43 +16,44 @@
 const KIND_ACCEPTED: u8 = 5;
 const KIND_RELEASE: u8 = 6;
 
-/// A ballot number. It is ordered by round first, so that a proposer can always choose a greater one.
+/// A ballot number, ordered by round first, so that a proposer can always choose a greater one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ballot {
-    /// The round, greater than any that the proposer has learned of.
+    /// The round, greater than any that the proposer has seen.
     pub round: u64,
     /// The proposer's index among all limiters.
     pub proposer: u32,
-    /// The incarnation of the proposer's process. It distinguishes responses to this process from those to an earlier one.
+    /// The incarnation of the proposer's process, which distinguishes responses to this process from responses to an
+    /// earlier one.
     pub incarnation: u32,
 }
 
 impl Ballot {
-    /// Whether both ballots are of one process of one proposer.
+    /// Returns whether both ballots belong to the same process of the same proposer.
     pub fn has_same_owner(self, other: Ballot) -> bool {
         self.proposer == other.proposer && self.incarnation == other.incarnation
     }
 }
 
-/// The token of a lease holder's operations: the ballot by which it took the lease. It stays the same over renewals and
-/// is greater for every later holder.
+/// The token that a lease holder's operations carry: the ballot that acquired the lease. Renewals do not change it, and
+/// every later holder has a greater one.
 pub type FencingToken = Ballot;
 
-/// The content of a message.
+/// The kind of a message and its fields.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Body {
-    /// The proposer asks an acceptor to ignore lower ballots.
+    /// The proposer asks an acceptor to reject lower ballots from now on.
     Prepare,
-    /// The acceptor will do so, and has accepted no other proposer's proposal that is still valid.
+    /// The acceptor promises to do so, and holds no valid proposal of another proposer.
     Promise,
-    /// The acceptor declines a prepare or propose message.
+    /// The acceptor rejects a prepare or propose message.
     Reject {
         /// The greatest ballot that the acceptor has promised.
         promised: Ballot,
-        /// How long the other proposal that it has accepted stays valid, on its own clock; 0 where there is none.
+        /// The remaining validity of another proposer's accepted proposal, on the acceptor's clock; 0 if there is none.
         remaining: Nanos,
     },
-    /// The proposer, promised by a majority, asks an acceptor to accept its proposal.
+    /// The proposer, which has promises from a majority, asks an acceptor to accept its proposal.
     Propose,
     /// The acceptor has accepted the proposal.
     Accepted,
@@ -62,21 +64,21 @@
 /// A message about the lease of one task.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Message {
-    /// The task's name.
+    /// The name of the task, 1 to 64 bytes of UTF-8.
     pub task: String,
-    /// The proposer's ballot, repeated in the response.
+    /// The ballot of the proposer; a response repeats the ballot of its request.
     pub ballot: Ballot,
-    /// The content.
+    /// The kind of the message, with the fields of that kind.
     pub body: Body,
 }
 
-/// Why bytes do not decode to a message.
+/// The reason why bytes do not decode to a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Error)]
 pub enum MessageError {
-    /// The message ends too soon, or continues after its end.
+    /// The message is truncated, or further bytes follow it.
     #[error("the length is not the one that the message states")]
     LengthMismatch,
-    /// This version does not know the kind.
+    /// This version does not support the message kind.
     #[error("unknown message kind")]
     UnknownKind,
     /// The task's name is empty, too long or not UTF-8.
@@ -85,8 +87,8 @@
 }
 
 impl Message {
-    /// Appends the encoded message: kind, ballot, the kind's own fields, length and name of the task. Integers are
-    /// big-endian.
+    /// Appends the encoded message to `bytes`: kind, ballot, the fields of the kind, and the length and name of the
+    /// task. Integers are big-endian.
     pub fn encode(&self, bytes: &mut Vec<u8>) {
         bytes.push(self.body.kind());
         encode_ballot(&self.ballot, bytes);
@@ -102,10 +104,10 @@
         bytes.extend(self.task.bytes().take(MAX_TASK_BYTES));
     }
 
-    /// Decodes what [`Message::encode`] wrote.
+    /// Decodes a message that [`Message::encode`] has encoded.
     ///
     /// # Errors
-    /// Where the bytes are anything else.
+    /// A [`MessageError`] if the bytes are not exactly one encoded message.
     pub fn decode(bytes: &[u8]) -> Result<Message, MessageError> {
         let mut decoder = Decoder { remaining: bytes };
         let kind = decoder.byte()?;
@@ -135,7 +137,7 @@
     bytes.extend(ballot.incarnation.to_be_bytes());
 }
 
-/// The bytes of a message that are not decoded yet.
+/// A decoder over the bytes of a message that have not been decoded yet.
 struct Decoder<'a> {
     remaining: &'a [u8],
 }
@@ -177,7 +179,7 @@
         }
     }
 
-    /// The task's name, which has to be the remaining of the message.
+    /// Decodes the task's name, which must extend to the end of the message.
     fn task(&mut self) -> Result<String, MessageError> {
         let length = usize::from(self.byte()?);
         if self.remaining.len() != length {
--- a/crates/lease/src/proposer.rs
+++ b/crates/lease/src/proposer.rs
@@ -1,5 +1,5 @@
-//! A proposer for the lease of one task: it asks the acceptors, holds the lease while a majority has accepted its
-//! proposal, and renews it in time.
+//! The proposer for the lease of one task: it sends proposals to the acceptors, holds the lease while a majority has
+//! accepted its proposal, and renews the lease before it expires.
 
 use crate::guard::Guard;
 use crate::{Ballot, Body, FencingToken, LeaseTiming, Message, Nanos};
@@ -12,52 +12,53 @@
 
 pub use round::{AcceptorIndex, Phase};
 
-/// A holder renews once this part of its validity has passed, which leaves time for two further rounds.
+/// The divisor of the holder's validity that gives when a holder renews: after one third, which leaves time for two
+/// further rounds.
 const RENEWAL_FRACTION: u64 = 3;
 
-/// A round of prepare and propose may take this part of the holder's validity.
+/// The divisor of the holder's validity that gives the timeout of a round of prepare and propose.
 const ROUND_TIMEOUT_FRACTION: u64 = 10;
 
 /// The configuration of a proposer.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ProposerConfig {
-    /// The duration of leases.
+    /// The duration of leases and the bound on clock drift.
     pub timing: LeaseTiming,
-    /// The task's name.
+    /// The name of the task, 1 to 64 bytes of UTF-8.
     pub task: String,
     /// This limiter's index among all limiters.
     pub node_id: u32,
-    /// Which process of this limiter it is.
+    /// The incarnation of this process, different from that of an earlier process of this limiter.
     pub incarnation: u32,
-    /// How many acceptors there are.
+    /// The number of acceptors, odd; more than half of them are a majority.
     pub acceptor_count: usize,
-    /// The round before the first one: Unix time in milliseconds, so that rounds grow even when all acceptors have
-    /// restarted. Safety does not depend on it; it decides only how soon a target that has seen higher tokens admits
-    /// this proposer's.
+    /// The round before the first one: the Unix time in milliseconds, so that rounds increase even if all acceptors
+    /// have restarted. Safety does not depend on it; it determines only how soon a target that has seen higher tokens
+    /// admits the tokens of this proposer.
     pub initial_round: u64,
 }
 
-/// One limiter's proposer for the lease of one task.
+/// The proposer of one limiter for the lease of one task.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Proposer {
     config: ProposerConfig,
     /// The ballot of the current round.
     ballot: Ballot,
-    /// The greatest round that this proposer has learned of.
+    /// The greatest round that this proposer has seen.
     highest_round: u64,
     phase: Phase,
     rejections: Vec<Rejection>,
     held: Option<HeldLease>,
-    /// When the next round may begin.
+    /// The time from which the next round may begin.
     next_round_at: Nanos,
     round_deadline: Nanos,
-    /// How long this limiter lets others propose first where the lease is free.
+    /// How long this limiter waits before it proposes when the lease is free, to let others propose first.
     stagger_delay: Nanos,
     round_timeout: Nanos,
 }
 
 impl Proposer {
-    /// Creates a proposer that has not sent anything yet.
+    /// Creates a proposer whose first round is due at `now`.
     pub fn new(config: ProposerConfig, now: Nanos) -> Self {
         let round_timeout = (config.timing.holder_validity() / ROUND_TIMEOUT_FRACTION).max(1);
         Proposer {
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Sets how long others may propose first where the lease is free; see [`crate::stagger_delay`].
+    /// Sets how long this limiter waits before it proposes when the lease is free; see [`crate::stagger_delay`].
     pub fn set_stagger_delay(&mut self, now: Nanos, delay: Nanos) {
         self.stagger_delay = delay;
         if self.guard(now).is_none() && self.phase == Phase::Idle {
@@ -82,19 +83,19 @@
         }
     }
 
-    /// The task's name.
+    /// Returns the name of the task whose lease this proposer requests.
     pub fn task(&self) -> &str {
         &self.config.task
     }
 
-    /// The guard for operations, where the lease is held.
+    /// Returns a guard for operations, or `None` if the lease is not held at `now`.
     pub fn guard(&self, now: Nanos) -> Option<Guard> {
         self.held
             .filter(|held| now < held.expires_at)
             .map(|held| Guard::new(held.token, held.expires_at))
     }
 
-    /// When [`Proposer::tick`] is due.
+    /// Returns when [`Proposer::tick`] is due next.
     pub fn next_deadline(&self) -> Nanos {
         if self.phase == Phase::Idle {
             self.next_round_at
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Ends a round that has timed out, and begins the next one when it is due. The returned message goes to all
+    /// Ends a round that has timed out, and begins the next one if it is due. The returned message is to be sent to all
     /// acceptors.
     pub fn tick(&mut self, now: Nanos) -> Option<Message> {
         if self.phase != Phase::Idle && now >= self.round_deadline {
@@ -115,7 +116,8 @@
         Some(self.begin_round(now))
     }
 
-    /// Handles the response of an acceptor, by its index among all limiters. The returned message goes to all acceptors.
+    /// Handles the response of an acceptor, given by its index among all limiters. The returned message is to be sent
+    /// to all acceptors.
     pub fn handle_response(
         &mut self,
         now: Nanos,
@@ -149,14 +151,15 @@
         }
     }
 
-    /// Another limiter has released its lease: a proposer that waits for the lease to expire waits only for its stagger
-    /// delay instead.
+    /// Handles another limiter's release of its lease: a proposer that waits for the lease to expire waits only for its
+    /// stagger delay and a quarter of the round timeout.
     pub fn handle_release(&mut self, now: Nanos, message: &Message) {
-        let is_of_other =
+        let is_from_other =
             message.task == self.config.task && message.ballot.proposer != self.config.node_id;
-        let waits = self.phase == Phase::Idle && self.guard(now).is_none();
-        if is_of_other && message.body == Body::Release && waits {
-            // The acceptors receive the release at about the same time; a part of a round lets it arrive there first.
+        let is_waiting = self.phase == Phase::Idle && self.guard(now).is_none();
+        if is_from_other && message.body == Body::Release && is_waiting {
+            // The acceptors receive the release at about the same time as this proposer. A quarter of the round timeout
+            // lets the release reach them before the next prepare message.
             let earliest = now
                 .saturating_add(self.stagger_delay)
                 .saturating_add(self.round_timeout / 4);
@@ -164,8 +167,8 @@
         }
     }
 
-    /// A target has rejected this holder's token as stale: the lease is dropped, and the next ballot is greater than the
-    /// token that the target has seen.
+    /// Handles a target's rejection of this holder's token as stale: gives up the lease, and makes the next round due
+    /// at once, with a ballot greater than the highest token that the target has admitted.
     pub fn handle_stale_token(&mut self, now: Nanos, highest: FencingToken) {
         self.highest_round = self.highest_round.max(highest.round);
         self.held = None;
@@ -173,9 +176,10 @@
         self.next_round_at = now;
     }
 
-    /// Releases the lease. No operation is permitted from here on; the returned message is to be sent to all acceptors
-    /// once the last operation has ended. The proposer then waits for the duration of a lease, so that another limiter
-    /// acquires it.
+    /// Releases the lease, so that no further operation is permitted. Returns the message to be sent to all acceptors
+    /// once the last operation has ended, or `None` if the lease is not held.
+    ///
+    /// The proposer does not propose again for the duration of a lease, so that another limiter can acquire it.
     pub fn release(&mut self, now: Nanos) -> Option<Message> {
         let held = self.held.take().filter(|held| now < held.expires_at);
         self.phase = Phase::Idle;
@@ -202,8 +206,8 @@
         self.message(Body::Prepare)
     }
 
-    /// Ends a round without a result. Proposers wait for different stagger delays before the next one, as two that retry
-    /// in step would outbid each other forever.
+    /// Ends a round without a result. Proposers wait for different stagger delays before the next round, because two
+    /// that retry at the same time would keep outbidding each other.
     fn abandon_round(&mut self, now: Nanos) {
         self.phase = Phase::Idle;
         let delay = if self.guard(now).is_some() {
@@ -246,7 +250,7 @@
         }
     }
 
-    /// Takes or renews the lease, which counts from when the proposal was sent.
+    /// Acquires or renews the lease, whose validity counts from when the proposal was sent.
     fn acquire(&mut self, now: Nanos, started_at: Nanos) {
         let validity = self.config.timing.holder_validity();
         let token = self.guard(now).map_or(self.ballot, |guard| guard.token());
@@ -259,11 +263,12 @@
         self.next_round_at = started_at.saturating_add(validity / RENEWAL_FRACTION);
     }
 
-    /// Counts an acceptor that has accepted another's proposal. Once too many have for a majority, the round is over, and
-    /// the next one waits until the first of these proposals expires, and then for the stagger delay.
+    /// Handles the rejection of an acceptor that has accepted another proposer's proposal. When the other acceptors are
+    /// too few for a majority, the round ends. The next one begins after the first of these proposals expires and the
+    /// stagger delay has passed.
     ///
-    /// One such acceptor alone does not end the round: its proposal may be of a holder that has failed, while a
-    /// majority is free.
+    /// One such acceptor among three or more does not end the round: its proposal may belong to a holder that has
+    /// failed, while a majority is free.
     fn handle_rejection(&mut self, now: Nanos, ballot: Ballot, rejection: Rejection) {
         let is_current = ballot == self.ballot && self.phase != Phase::Idle;
         if !is_current || rejection.remaining == 0 || self.guard(now).is_some() {
--- a/crates/lease/src/proposer/tests.rs
+++ b/crates/lease/src/proposer/tests.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn one_acceptor_of_another_holder_does_not_stop_a_majority() {
+fn one_rejecting_acceptor_does_not_stop_a_majority() {
     let mut proposer = proposer(0);
     let prepare = proposer.tick(0).expect("a round is due");
     assert_eq!(
@@ -67,7 +67,7 @@
     assert_ne!(
         proposer.phase,
         Phase::Idle,
-        "one acceptor, however often it responds"
+        "one acceptor counts once, however often it responds"
     );
     proposer.handle_response(8_000, 1, &response(&prepare, reject(400_000)));
     assert_eq!(
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn released_lease_is_proposed_for_after_the_stagger_delay_and_not_at_its_expiry() {
+fn round_after_a_release_waits_for_the_stagger_delay_and_not_for_the_expiry() {
     let mut proposer = proposer(7_000);
     let prepare = proposer.tick(7_000).expect("a round is due");
     for acceptor in 0..2 {
@@ -97,7 +97,7 @@
         assert_eq!(
             proposer.next_deadline(),
             915_000,
-            "neither another task's nor its own"
+            "a release of another task or of its own has no effect"
         );
     }
     proposer.handle_release(10_000, &release("t", 2));
--- a/crates/lease/src/stagger.rs
+++ b/crates/lease/src/stagger.rs
@@ -1,15 +1,16 @@
-//! Staggered proposals: each limiter waits for its own delay before it proposes, so that a free lease is not contested by
-//! all at once, and different tasks go to different limiters.
+//! Staggered proposals: each limiter waits for its own delay before it proposes, so that the limiters do not all
+//! contend for a free lease at once, and different tasks go to different limiters.
 
 use crate::Nanos;
 
-/// Limiters of a higher rank wait no longer than this rank, so that a fleet with few live members soon has a holder.
+/// The maximum rank that counts towards the delay, so that a fleet with few live members soon has a holder.
 const MAX_RANK: u64 = 16;
 
-/// How long a limiter lets others propose first: its rank for the task times `step`.
+/// Returns how long a limiter waits, to let others propose first: its rank for the task times `step`.
 ///
-/// The rank is that of rendezvous hashing (highest random weight, Thaler and Ravishankar 1998) among all limiters.
-/// Past `MAX_RANK`, a part of a step that differs from limiter to limiter is added.
+/// The rank, from 0, is the limiter's position among all limiters by rendezvous hashing (highest random weight, Thaler
+/// and Ravishankar 1998). Ranks above `MAX_RANK` count as `MAX_RANK`, and a fraction of a step that differs from
+/// limiter to limiter is added.
 pub fn stagger_delay(task: &str, limiter: &str, all_limiters: &[String], step: Nanos) -> Nanos {
     let own_weight = rendezvous_weight(task, limiter);
     let rank = all_limiters
--- a/crates/lease/tests/messages.rs
+++ b/crates/lease/tests/messages.rs
@@ -1,4 +1,5 @@
-//! Encoded messages and envelopes decode to the same values; other bytes are rejected with a reason.
+//! Property tests of the codecs: encoded messages and envelopes decode to the same values, and other bytes are
+//! rejected.
 
 use proptest::prelude::*;
 use quartzcleat_lease::*;
@@ -54,14 +55,14 @@
     }
 
     #[test]
-    fn any_bytes_are_an_error_or_a_message_that_encodes_to_them(noise in prop::collection::vec(any::<u8>(), 0..300)) {
-        if let Ok(message) = Message::decode(&noise) {
-            prop_assert_eq!(encoded(&message), noise);
+    fn decoding_fails_or_returns_a_message_that_encodes_to_the_same_bytes(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
+        if let Ok(message) = Message::decode(&bytes) {
+            prop_assert_eq!(encoded(&message), bytes);
         }
     }
 
     #[test]
-    fn envelope_that_is_changed_truncated_or_of_another_key_does_not_open(
+    fn envelope_that_is_changed_truncated_or_of_another_key_is_rejected(
         message in messages(), at in any::<prop::sample::Index>(), change in 1u8..,
     ) {
         let key = SharedKey::new(b"shared");
--- a/crates/lease/tests/model_check/initial.rs
+++ b/crates/lease/tests/model_check/initial.rs
@@ -1,4 +1,4 @@
-//! The states that the search begins with.
+//! The initial states of the search.
 
 use crate::model::{Model, TIMING};
 use crate::state::{ClockRates, Event, InjectedFault, ModelState, CLOCK_ORIGIN};
@@ -9,14 +9,16 @@
 const PROPOSERS: usize = 2;
 
 impl Model {
-    /// A free lease, and one that the first proposer holds, each with two sets of clocks.
+    /// Returns a state with a free lease and one in which the first proposer holds it, each for two sets of clock
+    /// rates.
     pub(crate) fn initial_states(&self) -> Vec<ModelState> {
         let free = self.free_lease_states();
         let held = free.clone().map(|state| self.acquire_by_first(state));
         free.into_iter().chain(held).collect()
     }
 
-    /// The worst pair of clocks, a slow holder before fast acceptors, and clocks that all agree.
+    /// Returns a free lease for the worst clock rates, a slow first proposer and fast acceptors, and for equal clock
+    /// rates.
     fn free_lease_states(&self) -> [ModelState; 2] {
         let worst = ClockRates {
             proposers: vec![-1, 1],
@@ -30,7 +32,7 @@
     }
 
     fn free_lease_state(&self, rates: ClockRates) -> ModelState {
-        // The acceptors' silence is over, as after a long run.
+        // The silence after the acceptors' start is over.
         let acceptors_started_at = CLOCK_ORIGIN - TIMING.restart_silence();
         let acceptor = Acceptor::new(TIMING, acceptors_started_at);
         ModelState {
@@ -54,7 +56,7 @@
         }
     }
 
-    /// The first proposer acquires the lease from the first two acceptors.
+    /// Lets the first proposer acquire the lease from the first two acceptors.
     fn acquire_by_first(&self, state: ModelState) -> ModelState {
         let begin = Event::BeginRound { proposer: 0 };
         let mut state = self.apply(&state, begin).unwrap_or(state);
@@ -71,7 +73,7 @@
         }
         assert!(
             state.guard(0).is_some(),
-            "two acceptors of three are enough"
+            "two acceptors of three are a majority"
         );
         state
     }
--- a/crates/lease/tests/model_check/main.rs
+++ b/crates/lease/tests/model_check/main.rs
@@ -1,10 +1,15 @@
-//! Model checking of leases on a small model: three acceptors, two proposers and a target.
+//! Model checking of leases with three acceptors, two proposers and a target.
 //!
-//! `search::exhaustive` goes through every order of up to so many events; `search::random_walks` goes further at
-//! random. Requests are lost, delayed, repeated and reordered (none is ever removed from the network); responses arrive
-//! at once or are lost; an acceptor or proposer restarts without its memory; operations are paused on their way; clocks
-//! run apart by less than the stated bound. Each injected fault must be found. Late responses are left to the tests with
-//! processes.
+//! `search::exhaustive` explores every order of events up to a depth; `search::random_walks` explores longer orders at
+//! random. The model covers these conditions:
+//!
+//! - Requests are lost, delayed, repeated and reordered, as none is ever removed from the network.
+//! - Responses arrive at once or are lost. Late responses are covered by the tests with processes.
+//! - An acceptor or a proposer restarts and loses its state.
+//! - Operations are delayed on their way to the target.
+//! - Clock rates differ within the configured bound.
+//!
+//! The search must find a violation for each injected fault.
 
 mod initial;
 mod model;
@@ -19,7 +24,7 @@
     let result = exhaustive(InjectedFault::None, 7);
     println!("{} states", result.states);
     assert!(!result.violated);
-    // The depth suffices for a proposal that is accepted twice, which happens without the silence after a restart.
+    // The depth suffices for a proposal to be accepted twice, which is possible without the silence after a restart.
     assert!(exhaustive(InjectedFault::NoRestartSilence, 7).violated);
 }
 
@@ -32,14 +37,17 @@
         InjectedFault::TokenUnchecked,
         InjectedFault::OperationWithoutGuard,
         InjectedFault::HolderValidityTooLong,
-        InjectedFault::AcceptanceForgotten,
-        InjectedFault::PromiseForgotten,
+        InjectedFault::AcceptedProposalNotStored,
+        InjectedFault::PromiseIgnored,
         InjectedFault::ClockSetBack,
         InjectedFault::OperationsAfterRelease,
     ] {
         let result = random_walks(fault, 40_000);
         println!("{fault:?}: {:?}", result.violation);
-        assert!(result.violation.is_some(), "{fault:?} was not found");
+        assert!(
+            result.violation.is_some(),
+            "{fault:?}: no violation was found"
+        );
     }
     let result = random_walks(InjectedFault::None, 40_000);
     assert_eq!(result.violation, None);
@@ -47,6 +55,6 @@
     println!("{takeovers} of 40000 walks had a takeover");
     assert!(
         takeovers >= 50,
-        "only {takeovers} of 40,000 walks came to a takeover after an operation"
+        "only {takeovers} of 40,000 walks had a takeover after an operation"
     );
 }
--- a/crates/lease/tests/model_check/model.rs
+++ b/crates/lease/tests/model_check/model.rs
@@ -1,19 +1,22 @@
-//! The model: the events that are possible in a state, and the state after an event.
+//! The transitions of the model: the events that are possible in a state, and the state after an event.
 
 use crate::state::{Event, InjectedFault, ModelState, TICK};
 use quartzcleat_lease::*;
 
-/// Clocks may run a quarter apart, as the model's time advances in coarse ticks.
+/// The lease timing of the model. Clock rates may differ by a quarter, because the model's time advances in coarse
+/// ticks.
 pub(crate) const TIMING: LeaseTiming = LeaseTiming {
     duration: 4_000,
     drift_per_mille: 250,
 };
 
-/// Bounds of the search.
+/// Bounds on the states that the search explores.
 pub(crate) struct Limits {
-    /// The last tick.
+    /// The last tick, up to which time advances.
     pub end: u64,
+    /// The maximum number of rounds that the proposers begin in total.
     pub rounds: u32,
+    /// The maximum number of operations that start in total.
     pub operations: u32,
 }
 
@@ -23,7 +26,6 @@
     pub limits: Limits,
 }
 
-/// The other one of the two proposers.
 fn other_proposer(proposer: usize) -> usize {
     1 - proposer
 }
@@ -52,7 +54,7 @@
         events
     }
 
-    /// The state after an event; `None` where the event changes nothing.
+    /// Returns the state after an event, or `None` if the event changes nothing.
     pub(crate) fn apply(&self, before: &ModelState, event: Event) -> Option<ModelState> {
         let mut state = before.clone();
         match event {
@@ -120,8 +122,8 @@
         let mut body = state.acceptors[acceptor].handle(now, request)?;
         if request.body == Body::Propose {
             match self.fault {
-                InjectedFault::AcceptanceForgotten => state.acceptors[acceptor] = before,
-                InjectedFault::PromiseForgotten => body = Body::Accepted,
+                InjectedFault::AcceptedProposalNotStored => state.acceptors[acceptor] = before,
+                InjectedFault::PromiseIgnored => body = Body::Accepted,
                 _ => {}
             }
         }
--- a/crates/lease/tests/model_check/search.rs
+++ b/crates/lease/tests/model_check/search.rs
@@ -1,4 +1,4 @@
-//! Search of the model's states: every order of events up to a depth, and random walks beyond it.
+//! Search of the model's states: exhaustively up to a depth, and by random walks beyond it.
 
 use crate::model::{Limits, Model};
 use crate::state::{Event, InjectedFault, ModelState};
@@ -7,27 +7,28 @@
 
 const WALK_STEPS: usize = 60;
 
-/// What the exhaustive search found.
 pub(crate) struct ExhaustiveResult {
+    /// Whether a state that violates an invariant was reached.
     pub violated: bool,
+    /// The number of distinct states that were reached.
     pub states: usize,
 }
 
-/// The first walk that violated an invariant.
+/// The walk and its step that violated an invariant; `seed` reproduces the walk.
 #[derive(Debug, PartialEq)]
 pub(crate) struct Violation {
     pub seed: u64,
     pub step: usize,
 }
 
-/// What the random walks found.
 pub(crate) struct WalkResult {
+    /// The first violation, or `None` if no walk violated an invariant.
     pub violation: Option<Violation>,
-    /// Walks in which another limiter took the lease after an operation of the first holder.
+    /// The number of completed walks in which another proposer acquired the lease after an operation of a holder.
     pub takeovers: usize,
 }
 
-/// Goes through every order of up to `depth` events, from a free lease and from one that is held.
+/// Explores every order of up to `depth` events, from a free lease and from one that is held.
 pub(crate) fn exhaustive(fault: InjectedFault, depth: usize) -> ExhaustiveResult {
     let model = Model {
         acceptor_count: 3,
@@ -70,7 +71,7 @@
     hasher.finish()
 }
 
-/// Walks at random, each walk with its number as the seed, until one violates an invariant.
+/// Runs random walks with the seeds from 0 to `walks - 1` until one violates an invariant.
 pub(crate) fn random_walks(fault: InjectedFault, walks: u64) -> WalkResult {
     let model = Model {
         acceptor_count: 3,
@@ -117,7 +118,8 @@
     let mut state = initial_states[rng.usize(..initial_states.len())].clone();
     for step in 0..WALK_STEPS {
         let mut events = model.events(&state);
-        // Every other walk is without restarts and releases, so that it comes to what time alone does.
+        // Every other walk excludes restarts and releases, so that it reaches states that only the passage of time
+        // leads to.
         if seed % 2 == 1 {
             events.retain(|event| !event.is_restart_or_release());
         }
@@ -134,7 +136,8 @@
     }
 }
 
-/// Half of the time the latest request is delivered: purely random walks hardly ever acquire a lease.
+/// Chooses a delivery of the latest request, which is the greatest in the order of messages, with a probability of one
+/// half, and any event otherwise. Walks that choose uniformly hardly ever acquire a lease.
 fn choose_event(state: &ModelState, events: &[Event], rng: &mut fastrand::Rng) -> Option<Event> {
     let latest_request = state.requests.last();
     let deliveries: Vec<&Event> = events
--- a/crates/lease/tests/model_check/state.rs
+++ b/crates/lease/tests/model_check/state.rs
@@ -3,10 +3,12 @@
 use quartzcleat_lease::*;
 use std::collections::BTreeSet;
 
+/// The nominal length of a tick of the model's time, in nanoseconds.
 pub(crate) const TICK: Nanos = 1_000;
+/// The time on every clock at tick 0, in nanoseconds.
 pub(crate) const CLOCK_ORIGIN: Nanos = 100_000;
 
-/// A fault in the protocol's implementation or assumptions that the search has to find.
+/// A fault in the implementation or in the assumptions of the protocol, whose effect the search must find.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum InjectedFault {
     None,
@@ -16,13 +18,13 @@
     TokenUnchecked,
     OperationWithoutGuard,
     HolderValidityTooLong,
-    AcceptanceForgotten,
-    PromiseForgotten,
+    AcceptedProposalNotStored,
+    PromiseIgnored,
     ClockSetBack,
     OperationsAfterRelease,
 }
 
-/// By how many eighths each clock runs fast.
+/// The rate of each clock, as the number of eighths by which it runs fast; negative for a slow clock.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct ClockRates {
     pub proposers: Vec<i64>,
@@ -31,45 +33,48 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct ModelState {
+    /// The time in ticks.
     pub time: u64,
     pub rates: ClockRates,
-    /// How far the first proposer's clock was set back.
+    /// How far the first proposer's clock was set back, in nanoseconds.
     pub set_back: u64,
     pub acceptors: Vec<Acceptor>,
     pub proposers: Vec<Proposer>,
-    /// All requests ever sent.
+    /// All requests that were ever sent; each may be delivered any number of times.
     pub requests: BTreeSet<Message>,
-    /// Tokens of operations on their way to the target.
+    /// The tokens of operations that were started; each may arrive at the target any number of times.
     pub operations_in_flight: BTreeSet<FencingToken>,
     pub target: HighestToken,
     pub last_admitted: FencingToken,
     pub restarts: u32,
     pub operations: u32,
     pub rounds: u32,
+    /// Whether one proposer acquired the lease, or started an operation, while the other held the lease.
     pub two_holders: bool,
+    /// Whether the target admitted a token lower than the last admitted one.
     pub stale_token_admitted: bool,
-    /// Another limiter took the lease after an operation of the first holder.
+    /// Whether a proposer acquired the lease after the target had last admitted an operation of the other one.
     pub takeover: bool,
 }
 
 impl ModelState {
-    /// Whether an invariant is violated.
+    /// Returns whether an invariant is violated.
     pub(crate) fn is_violated(&self) -> bool {
         self.two_holders || self.stale_token_admitted
     }
 
-    /// The time by the clock of a proposer.
+    /// Returns the time on a proposer's clock.
     pub(crate) fn proposer_clock(&self, proposer: usize) -> Nanos {
         let set_back = if proposer == 0 { self.set_back } else { 0 };
         clock(self.time, self.rates.proposers[proposer]) - set_back
     }
 
-    /// The time by the clock of an acceptor.
+    /// Returns the time on an acceptor's clock.
     pub(crate) fn acceptor_clock(&self, acceptor: usize) -> Nanos {
         clock(self.time, self.rates.acceptors[acceptor])
     }
 
-    /// The lease that a proposer holds by its clock.
+    /// Returns the guard of a proposer that holds the lease on its own clock, or `None`.
     pub(crate) fn guard(&self, proposer: usize) -> Option<Guard> {
         self.proposers[proposer].guard(self.proposer_clock(proposer))
     }
@@ -93,7 +98,7 @@
     StartOperation {
         proposer: usize,
     },
-    /// The operation may have been on its way for as long as its process was paused, and may arrive twice.
+    /// An operation arrives at the target: possibly late, as its process may have been paused, and possibly repeatedly.
     OperationArrives {
         token: FencingToken,
     },
@@ -117,7 +122,7 @@
         )
     }
 
-    /// Whether the event delivers this request and its response.
+    /// Returns whether the event delivers the wanted request and its response.
     pub(crate) fn delivers_with_response(&self, wanted: Option<&Message>) -> bool {
         matches!(
             self,
--- a/crates/lease/tests/wire_format.rs
+++ b/crates/lease/tests/wire_format.rs
@@ -1,4 +1,4 @@
-//! The bytes of each lease message and of the envelope, as other versions of the limiter write and read them.
+//! The wire format of lease messages and envelopes, which must stay compatible with other versions of the limiter.
 
 use quartzcleat_lease::*;
 
@@ -22,9 +22,9 @@
         .collect()
 }
 
-/// The kind, the ballot, what the kind carries, and the task after its length.
+/// Layout: kind, ballot, fields of the kind, length of the task's name, task's name.
 #[test]
-fn each_message_kind_keeps_its_bytes() {
+fn encoding_of_each_message_kind_is_stable() {
     let rejection_hex = "00000000000000090000000200000003000000003b9aca00";
     for (kind, body, fields_hex) in [
         ("01", Body::Prepare, ""),
@@ -56,9 +56,9 @@
     }
 }
 
-/// Version, kind, sender, sequence, length, payload, and the first 16 bytes of the keyed hash.
+/// Layout: version, kind, sender, sequence number, length, payload, and the first 16 bytes of the keyed hash.
 #[test]
-fn an_envelope_keeps_its_bytes() {
+fn encoding_of_an_envelope_is_stable() {
     let key = SharedKey::new(b"shared");
     let envelope = Envelope {
         kind: 2,
