--- a/crates/usage-export/src/lib.rs
+++ b/crates/usage-export/src/lib.rs
@@ -1,11 +1,11 @@
-//! Export of usage: the usage of each customer is written to a sink exactly once, even if processes fail meanwhile.
+//! Export of usage: each customer's usage is counted in a sink exactly once, even if processes fail during the export.
 //!
-//! Each limiter keeps a [`Spool`] of the attempts that it is about to send, of how they ended, and of numbered batches of
-//! their sums. The exporter, which is the lease holder of the export, fetches batches in order and appends them to its
-//! own file in the sink. A batch is identified by its source and sequence number, so that writing it twice changes
-//! nothing.
+//! Each limiter records in a [`Spool`] the attempts that it is about to send, their outcomes, and numbered batches of
+//! their usage. The exporter, which is the limiter that holds the lease of the export, fetches batches in order and
+//! appends them to its own file in the sink. A batch is identified by its source and sequence number, so that a
+//! repeated write has no effect on the sums.
 //!
-//! The crate has no files, sockets or clock. `docs/design-leases.md` gives the reasons for the design.
+//! The crate uses no files, sockets or clock. `docs/design-leases.md` explains the design.
 
 mod message;
 mod record;
--- a/crates/usage-export/src/message.rs
+++ b/crates/usage-export/src/message.rs
@@ -1,4 +1,4 @@
-//! Messages between the exporter and the limiters whose spools it exports, and their text form.
+//! Messages between the exporter and the limiters whose spools it exports, and their text encoding.
 
 use crate::record::{parse_batch, BatchText};
 use crate::{Batch, Source};
@@ -7,31 +7,31 @@
 #[cfg(test)]
 mod tests;
 
-/// The longest encoded message in bytes.
+/// The maximum length of an encoded message, in bytes.
 pub const MAX_MESSAGE_BYTES: usize = 1_100;
 
-/// A message of the export.
+/// A message between the exporter and a limiter.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Message {
     /// The exporter asks a limiter for its first pending batch.
     Fetch,
-    /// The limiter's first pending batch.
+    /// A limiter responds with its first pending batch.
     Batch {
-        /// The spool that it comes from.
+        /// The spool that the batch comes from.
         source: Source,
-        /// The batch.
+        /// The first batch that is not known to be in the sink.
         batch: Batch,
     },
-    /// The exporter has written a spool's batches up to a sequence number.
+    /// The exporter confirms that the sink has a spool's batches up to a sequence number.
     Acknowledge {
-        /// The spool's epoch.
+        /// The epoch of the spool, see [`Source::epoch`].
         epoch: u64,
-        /// The last sequence number written.
+        /// The last sequence number in the sink.
         sequence: u64,
     },
 }
 
-/// Why bytes do not decode to a message.
+/// The reason why bytes do not decode to a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum MessageError {
     /// The message is longer than [`MAX_MESSAGE_BYTES`].
@@ -40,16 +40,16 @@
     /// The message is not UTF-8.
     #[error("not UTF-8")]
     NotText,
-    /// This version does not know the kind.
+    /// This version does not support the message kind.
     #[error("unknown message kind")]
     UnknownKind,
-    /// The fields are not those of the kind.
+    /// The fields are missing, malformed or too many for the message kind.
     #[error("the fields are not those of the message kind")]
     InvalidFields,
 }
 
 impl Message {
-    /// Encodes the message.
+    /// Encodes the message as its kind and fields in UTF-8, separated by spaces.
     pub fn encode(&self) -> Vec<u8> {
         let text = match self {
             Message::Fetch => "want".to_owned(),
@@ -66,10 +66,10 @@
         text.into_bytes()
     }
 
-    /// Decodes what [`Message::encode`] wrote.
+    /// Decodes a message that [`Message::encode`] has encoded.
     ///
     /// # Errors
-    /// Where the bytes are anything else.
+    /// A [`MessageError`] if the bytes are not a valid message.
     pub fn decode(bytes: &[u8]) -> Result<Message, MessageError> {
         if bytes.len() > MAX_MESSAGE_BYTES {
             return Err(MessageError::TooLong);
--- a/crates/usage-export/src/message/tests.rs
+++ b/crates/usage-export/src/message/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the messages' text form.
+//! Tests of the text encoding of messages.
 
 use super::*;
 use crate::{AttemptOutcome, Spool, Usage};
--- a/crates/usage-export/src/record.rs
+++ b/crates/usage-export/src/record.rs
@@ -1,30 +1,33 @@
-//! Lines of spools and sinks. Each ends with a check of its text, so that a truncated or corrupt line is recognized.
+//! The line format of spools and sinks. Each line ends with a checksum of its text, so that a truncated or corrupt line
+//! is detected.
 
 use crate::{Batch, Usage, UsageByCustomer};
 use std::fmt;
 
-const CHECK_HEX_DIGITS: usize = 8;
+const CHECKSUM_HEX_DIGITS: usize = 8;
 
-/// Appends the check and the line's end to a text.
-pub(crate) fn seal_line(text: &str) -> String {
-    format!("{text} #{:08x}\n", check(text))
+/// Returns the line of a text: the text, its checksum and a line feed.
+pub(crate) fn encode_line(text: &str) -> String {
+    format!("{text} #{:08x}\n", checksum(text))
 }
 
-/// Returns the text of a line without its end, where its check is right.
-pub(crate) fn open_line(line: &str) -> Option<&str> {
-    let (text, stated) = line.rsplit_once(" #")?;
-    let is_valid =
-        stated.len() == CHECK_HEX_DIGITS && u32::from_str_radix(stated, 16) == Ok(check(text));
+/// Returns the text of a line that has no line feed, or `None` if its checksum does not match.
+pub(crate) fn verify_line(line: &str) -> Option<&str> {
+    let (text, stated_checksum) = line.rsplit_once(" #")?;
+    let is_valid = stated_checksum.len() == CHECKSUM_HEX_DIGITS
+        && u32::from_str_radix(stated_checksum, 16) == Ok(checksum(text));
     is_valid.then_some(text)
 }
 
-fn check(text: &str) -> u32 {
-    let mut check = [0; 4];
-    check.copy_from_slice(&blake3::hash(text.as_bytes()).as_bytes()[..4]);
-    u32::from_be_bytes(check)
+/// Returns the first 4 bytes of the BLAKE3 hash of a text.
+fn checksum(text: &str) -> u32 {
+    let mut bytes = [0; 4];
+    bytes.copy_from_slice(&blake3::hash(text.as_bytes()).as_bytes()[..4]);
+    u32::from_be_bytes(bytes)
 }
 
-/// The text form of a usage: its three numbers in hexadecimal, separated by dots.
+/// The text form of a usage: executed milliunits, uncertain milliunits and executed attempts in hexadecimal, separated
+/// by dots.
 pub(crate) struct UsageText<'a>(pub(crate) &'a Usage);
 
 impl fmt::Display for UsageText<'_> {
@@ -41,7 +44,7 @@
     }
 }
 
-/// Parses what [`UsageText`] wrote.
+/// Parses the text form that [`UsageText`] writes.
 pub(crate) fn parse_usage(text: &str) -> Option<Usage> {
     let mut numbers = text.split('.');
     let mut next = || u64::from_str_radix(numbers.next()?, 16).ok();
@@ -55,7 +58,8 @@
     })
 }
 
-/// The text form of a batch: its sequence number, then each customer's usage, separated by spaces.
+/// The text form of a batch: its sequence number and `customer=usage` for each customer, separated by spaces. The
+/// customer is in hexadecimal.
 pub(crate) struct BatchText<'a>(pub(crate) &'a Batch);
 
 impl fmt::Display for BatchText<'_> {
@@ -68,7 +72,7 @@
     }
 }
 
-/// Parses what [`BatchText`] wrote, split at its spaces.
+/// Parses the text form that [`BatchText`] writes, split at its spaces.
 pub(crate) fn parse_batch<'a>(mut fields: impl Iterator<Item = &'a str>) -> Option<Batch> {
     let sequence = fields.next()?.parse().ok()?;
     let usage = fields.map(|field| {
@@ -81,7 +85,7 @@
     })
 }
 
-/// Parses a customer's identifier in hexadecimal.
+/// Parses a customer identifier in hexadecimal.
 pub(crate) fn parse_customer(text: &str) -> Option<u64> {
     u64::from_str_radix(text, 16).ok()
 }
--- a/crates/usage-export/src/sink.rs
+++ b/crates/usage-export/src/sink.rs
@@ -1,9 +1,9 @@
-//! The sink: one file for each tenure of an exporter.
+//! The sink, with one file for each period in which an exporter holds the lease.
 //!
-//! An exporter that was paused and continues after its lease has expired still writes to its own file. That is harmless,
-//! as a batch counts once even if several files contain it.
+//! An exporter that was paused and resumes after its lease has expired still writes to its own file. That does not
+//! change the sums, because a batch counts once even if several files contain it.
 
-use crate::record::{open_line, parse_batch, seal_line, BatchText};
+use crate::record::{encode_line, parse_batch, verify_line, BatchText};
 use crate::{Batch, BatchId, Source, Spool, UsageByCustomer};
 use std::collections::btree_map::Entry;
 use std::collections::BTreeMap;
@@ -14,21 +14,21 @@
 /// A batch in the sink.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SinkRecord {
-    /// The spool that it comes from.
+    /// The spool that the batch comes from.
     pub source: Source,
-    /// The batch.
+    /// The content and sequence number of the batch.
     pub batch: Batch,
 }
 
 impl SinkRecord {
-    /// The record's line in a file of the sink.
+    /// Returns the record's line in a file of the sink, with its checksum and line feed.
     pub fn to_line(&self) -> String {
         let Source { name, epoch } = &self.source;
-        seal_line(&format!("{name} {epoch} {}", BatchText(&self.batch)))
+        encode_line(&format!("{name} {epoch} {}", BatchText(&self.batch)))
     }
 
     fn from_line(line: &str) -> Option<SinkRecord> {
-        let mut fields = open_line(line)?.split(' ');
+        let mut fields = verify_line(line)?.split(' ');
         let source = Source {
             name: fields.next()?.to_owned(),
             epoch: fields.next()?.parse().ok()?,
@@ -43,31 +43,32 @@
 /// The content of all files of a sink.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Sink {
+    /// The usage of each batch, by its source and sequence number.
     batches: BTreeMap<Source, BTreeMap<u64, UsageByCustomer>>,
     duplicates: u64,
     corrupt_lines: u64,
     conflicts: Vec<BatchId>,
-    /// Usage that spools hold outside batches.
+    /// The usage in spools that is in no batch yet.
     unbatched: UsageByCustomer,
 }
 
-/// The sums of a sink, and its faults.
+/// The usage that a sink contains, and the faults found in it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SinkReport {
-    /// Usage by customer.
+    /// The sum of usage of each customer.
     pub usage: UsageByCustomer,
-    /// Batches that were found again with the same content; each counts once.
+    /// The number of times that a batch was found again with the same content; it counts once.
     pub duplicates: u64,
-    /// Lines that are truncated or corrupt.
+    /// The number of lines that are truncated or corrupt.
     pub corrupt_lines: u64,
-    /// Batches that are missing before a later one of the same source.
+    /// The batches that are missing although the sink has a later one of the same source.
     pub missing: Vec<BatchId>,
-    /// Batches that were found again with another content; the content read first counts.
+    /// The batches that were found again with different content; the content added first counts.
     pub conflicts: Vec<BatchId>,
 }
 
 impl Sink {
-    /// Adds the text of one file. Lines that are truncated or corrupt are counted and skipped.
+    /// Adds the batches in the text of one file. Counts and skips lines that are truncated or corrupt.
     pub fn add_file(&mut self, text: &str) {
         for line in text.split_inclusive('\n') {
             match line.strip_suffix('\n').and_then(SinkRecord::from_line) {
@@ -77,7 +78,8 @@
         }
     }
 
-    /// Adds a batch.
+    /// Adds a batch. A batch that was added before is not counted again, but as a duplicate or, if its content differs,
+    /// as a conflict.
     pub fn add(&mut self, record: SinkRecord) {
         let SinkRecord { source, batch } = record;
         let batches = self.batches.entry(source.clone()).or_default();
@@ -93,14 +95,14 @@
         }
     }
 
-    /// Whether the sink has a source's batch.
+    /// Returns whether the sink has the batch of a source with a sequence number.
     pub fn contains(&self, source: &Source, sequence: u64) -> bool {
         self.batches
             .get(source)
             .is_some_and(|batches| batches.contains_key(&sequence))
     }
 
-    /// Adds the usage that is in a spool and not yet in the sink.
+    /// Adds the usage of ended attempts in a spool that is not in the sink yet.
     pub fn add_spool(&mut self, spool: &Spool) {
         for batch in spool.pending_batches() {
             if !self.contains(spool.source(), batch.sequence) {
@@ -115,7 +117,7 @@
         }
     }
 
-    /// Sums up the usage and lists batches that are missing or in conflict.
+    /// Returns the sum of usage of each customer, and the missing, duplicate and conflicting batches.
     pub fn report(&self) -> SinkReport {
         let mut report = SinkReport {
             usage: self.unbatched.clone(),
--- a/crates/usage-export/src/sink/tests.rs
+++ b/crates/usage-export/src/sink/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the sink.
+//! Tests of [`Sink`].
 
 use super::*;
 use crate::{AttemptOutcome, Usage};
@@ -37,7 +37,7 @@
     let mut sink = Sink::default();
     sink.add_file(&lines[..2].concat());
     assert!(sink.contains(&record(1, 0).source, 2) && !sink.contains(&record(1, 0).source, 3));
-    // A later tenure begins at the second batch; the first exporter was killed in the middle of a line.
+    // The next exporter's file begins at the second batch. A truncated line follows, as of an exporter that was killed.
     sink.add_file(&format!("{}{}{}", lines[1], lines[2], &lines[0][..9]));
     let report = sink.report();
     assert_eq!(
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn usage_that_a_spool_still_holds_is_added_to_the_sink() {
+fn usage_that_is_not_exported_yet_is_added_from_the_spool() {
     let mut spool = Spool::new(record(1, 0).source);
     let mut sink = Sink::default();
     for _ in 0..3 {
--- a/crates/usage-export/src/spool.rs
+++ b/crates/usage-export/src/spool.rs
@@ -1,8 +1,8 @@
-//! A limiter's spool.
+//! The spool in which a limiter records usage until it is exported.
 //!
-//! The usage of an attempt is written down before the attempt is sent, and again when it has ended. A killed
-//! process therefore leaves a record of every attempt that it may have sent, and recovery counts attempts without an end as
-//! uncertain.
+//! The spool records an attempt's expected usage before the attempt is sent, and its actual usage when it has ended. A
+//! process that is killed therefore leaves a record of every attempt that it may have sent. Recovery counts attempts
+//! without a recorded end as uncertain.
 
 use crate::{to_milliunits, Batch, Customer, Source, Usage, UsageByCustomer};
 use line::{Header, Line};
@@ -15,46 +15,47 @@
 
 pub use recovery::{RecoveredSpool, SpoolError};
 
-/// Customers in one batch: with the longest numbers it still fits into a datagram.
+/// The maximum number of customers in one batch, which fits into a datagram even with numbers of maximum length.
 const MAX_BATCH_CUSTOMERS: usize = 16;
 
-/// A file of fewer lines is not compacted.
+/// The minimum number of lines of a file that is compacted.
 const MIN_COMPACTION_LINES: usize = 4_096;
 
-/// How an attempt ended.
+/// The outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AttemptOutcome {
-    /// A host has executed it, for so many units.
+    /// A host has executed the attempt, which used this many units.
     Executed(f64),
-    /// No host has executed it.
+    /// No host has executed the attempt.
     NotExecuted,
-    /// A host may have executed it.
+    /// A host may have executed the attempt.
     Unknown,
 }
 
-/// An attempt that was recorded.
+/// An attempt whose start was recorded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StartedAttempt {
-    /// Its number in the spool.
+    /// The number of the attempt in the spool, starting at 1.
     pub attempt: u64,
-    /// The line to be appended before the attempt is sent.
+    /// The line to be appended to the spool's file before the attempt is sent.
     pub line: String,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct OpenAttempt {
     customer: Customer,
+    /// The expected usage in thousandths of a unit.
     milliunits: u64,
 }
 
-/// The spool of one process. Each line that a method returns is to be appended to the spool's file before the caller
-/// acts on it.
+/// The spool of one process. The caller appends each line that a method returns to the spool's file before it acts on
+/// the recorded event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Spool {
     source: Source,
     open_attempts: BTreeMap<u64, OpenAttempt>,
     next_attempt: u64,
-    /// Usage of ended attempts that is in no batch yet.
+    /// The usage of ended attempts that is in no batch yet.
     unbatched: UsageByCustomer,
     pending_batches: VecDeque<Batch>,
     next_sequence: u64,
@@ -75,12 +76,12 @@
         }
     }
 
-    /// The source of this spool's batches.
+    /// Returns the identity of this spool, which its batches carry as their source.
     pub fn source(&self) -> &Source {
         &self.source
     }
 
-    /// The first line of a new spool's file.
+    /// Returns the first line of a new spool's file.
     pub fn header(&self) -> String {
         let header = Header {
             source: self.source.clone(),
@@ -89,7 +90,7 @@
         header.to_line()
     }
 
-    /// Records an attempt that is about to be sent.
+    /// Records an attempt that is about to be sent, with its expected usage in units.
     pub fn start_attempt(&mut self, customer: Customer, units: f64) -> StartedAttempt {
         let attempt = self.next_attempt;
         let milliunits = to_milliunits(units);
@@ -101,7 +102,7 @@
                 milliunits,
             },
         );
-        let line = self.write(&Line::AttemptStarted {
+        let line = self.encode_line(&Line::AttemptStarted {
             attempt,
             customer,
             milliunits,
@@ -109,7 +110,7 @@
         StartedAttempt { attempt, line }
     }
 
-    /// Records how an attempt ended. `None` where the attempt is not open.
+    /// Records the outcome of an attempt and returns the line, or `None` if the attempt is not open.
     pub fn end_attempt(&mut self, attempt: u64, outcome: AttemptOutcome) -> Option<String> {
         let open = self.open_attempts.remove(&attempt)?;
         let usage = match outcome {
@@ -127,10 +128,11 @@
         if usage != Usage::default() {
             self.add_unbatched(open.customer, usage);
         }
-        Some(self.write(&Line::AttemptEnded { attempt, usage }))
+        Some(self.encode_line(&Line::AttemptEnded { attempt, usage }))
     }
 
-    /// Cuts a batch of the usage of ended attempts. `None` where there is none.
+    /// Moves the usage of ended attempts of up to 16 customers into a new batch and returns its line, or `None` if
+    /// there is no such usage.
     pub fn cut_batch(&mut self) -> Option<String> {
         let customers: Vec<Customer> = self
             .unbatched
@@ -151,41 +153,44 @@
         };
         self.next_sequence += 1;
         self.pending_batches.push_back(batch.clone());
-        Some(self.write(&Line::BatchCut(batch)))
+        Some(self.encode_line(&Line::BatchCut(batch)))
     }
 
-    /// Batches that are not known to be in the sink, in the order of their sequence numbers.
+    /// Returns the batches that are not known to be in the sink, in the order of their sequence numbers.
     pub fn pending_batches(&self) -> impl Iterator<Item = &Batch> {
         self.pending_batches.iter()
     }
 
-    /// Usage of ended attempts that is in no batch yet.
+    /// Returns the usage of ended attempts that is in no batch yet.
     pub fn unbatched(&self) -> &UsageByCustomer {
         &self.unbatched
     }
 
-    /// Whether the sink has everything, and no attempt is open.
+    /// Returns whether no attempt is open and all usage is known to be in the sink.
     pub fn is_empty(&self) -> bool {
         self.open_attempts.is_empty()
             && self.unbatched.is_empty()
             && self.pending_batches.is_empty()
     }
 
-    /// Records that the sink has the batches up to a sequence number. `None` where none of them was pending.
+    /// Records that the sink has the batches up to a sequence number and returns the line, or `None` if none of them
+    /// was pending.
     pub fn acknowledge(&mut self, sequence: u64) -> Option<String> {
         let pending = self.pending_batches.len();
         self.remove_batches_up_to(sequence);
-        (self.pending_batches.len() < pending).then(|| self.write(&Line::Exported { sequence }))
+        (self.pending_batches.len() < pending)
+            .then(|| self.encode_line(&Line::Exported { sequence }))
     }
 
-    /// The text of a shorter file with the same content, where most lines of a long file are obsolete.
+    /// Returns the text of a shorter file with the same content, which replaces the spool's file. Returns `None` if the
+    /// file has fewer than 4,096 lines, or if more than half of its lines are still needed.
     pub fn compact(&mut self) -> Option<String> {
-        let useful_lines =
+        let needed_lines =
             1 + self.open_attempts.len() + self.unbatched.len() + self.pending_batches.len();
-        if self.line_count < MIN_COMPACTION_LINES || self.line_count < 2 * useful_lines {
+        if self.line_count < MIN_COMPACTION_LINES || self.line_count < 2 * needed_lines {
             return None;
         }
-        self.line_count = useful_lines;
+        self.line_count = needed_lines;
         Some(self.compacted_text())
     }
 
@@ -227,7 +232,8 @@
         }
     }
 
-    fn write(&mut self, line: &Line) -> String {
+    /// Encodes a line that the caller appends to the file, and counts it.
+    fn encode_line(&mut self, line: &Line) -> String {
         self.line_count += 1;
         line.to_line()
     }
--- a/crates/usage-export/src/spool/line.rs
+++ b/crates/usage-export/src/spool/line.rs
@@ -1,25 +1,26 @@
-//! Lines of a spool's file and their text form.
+//! The lines of a spool's file and their text form.
 
 use crate::record::{
-    open_line, parse_batch, parse_customer, parse_usage, seal_line, BatchText, UsageText,
+    encode_line, parse_batch, parse_customer, parse_usage, verify_line, BatchText, UsageText,
 };
 use crate::{Batch, Customer, Source, Usage};
 
-/// The first line: whose spool it is, and the sequence number of the first batch that follows.
+/// The first line of a spool's file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Header {
     pub(super) source: Source,
+    /// The sequence number of the first batch that follows.
     pub(super) next_sequence: u64,
 }
 
 impl Header {
     pub(super) fn to_line(&self) -> String {
         let Source { name, epoch } = &self.source;
-        seal_line(&format!("spool 1 {name} {epoch} {}", self.next_sequence))
+        encode_line(&format!("spool 1 {name} {epoch} {}", self.next_sequence))
     }
 
     pub(super) fn from_line(line: &str) -> Option<Header> {
-        let fields: Vec<&str> = open_line(line)?.split(' ').collect();
+        let fields: Vec<&str> = verify_line(line)?.split(' ').collect();
         let &["spool", "1", name, epoch, next_sequence] = fields.as_slice() else {
             return None;
         };
@@ -33,7 +34,7 @@
     }
 }
 
-/// Every other line.
+/// Any line after the header.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Line {
     /// An attempt is about to be sent.
@@ -44,11 +45,11 @@
     },
     /// An attempt has ended.
     AttemptEnded { attempt: u64, usage: Usage },
-    /// An attempt has ended, but its usage does not parse. No version writes this.
+    /// An attempt has ended, but its usage cannot be parsed. No version writes such a line.
     MalformedAttemptEnd { attempt: u64 },
-    /// Usage of a customer that is in no batch yet, written by a compaction.
+    /// A customer's usage that is in no batch yet. Only compaction writes such a line.
     Unbatched { customer: Customer, usage: Usage },
-    /// A batch was cut.
+    /// Usage of ended attempts was moved into a batch.
     BatchCut(Batch),
     /// The sink has the batches up to a sequence number.
     Exported { sequence: u64 },
@@ -68,11 +69,11 @@
             Line::BatchCut(batch) => format!("b {}", BatchText(batch)),
             Line::Exported { sequence } => format!("x {sequence}"),
         };
-        seal_line(&text)
+        encode_line(&text)
     }
 
     pub(super) fn from_line(line: &str) -> Option<Line> {
-        let mut fields = open_line(line)?.split(' ');
+        let mut fields = verify_line(line)?.split(' ');
         let line = match fields.next()? {
             "+" => Line::AttemptStarted {
                 attempt: fields.next()?.parse().ok()?,
--- a/crates/usage-export/src/spool/recovery.rs
+++ b/crates/usage-export/src/spool/recovery.rs
@@ -1,40 +1,40 @@
-//! Recovery of a spool from the file that an ended process has left behind.
+//! Recovery of a spool from the file of a process that has ended.
 
 use super::line::{Header, Line};
 use super::{AttemptOutcome, OpenAttempt, Spool};
 use crate::Batch;
 use thiserror::Error;
 
-/// A spool that was read from its file.
+/// The result of reading a spool from its file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RecoveredSpool {
-    /// The spool.
+    /// The recovered spool, without open attempts.
     pub spool: Spool,
-    /// Lines that are truncated or corrupt.
+    /// The number of lines that are truncated, corrupt or inconsistent with the lines before them.
     pub corrupt_lines: usize,
-    /// Attempts without an end, which count as uncertain from now on.
+    /// The number of attempts without a recorded end, whose usage is now uncertain.
     pub unfinished_attempts: usize,
-    /// Lines to be appended before any other. They end the unfinished attempts, which would otherwise be counted again
-    /// at the next recovery.
+    /// The lines to be appended to the file before any other. They end the unfinished attempts, which the next recovery
+    /// would otherwise count again.
     pub lines: String,
 }
 
-/// Why a file is not a spool of this limiter.
+/// The reason why a file is not a spool of this limiter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum SpoolError {
-    /// The first line is not the header of a spool.
+    /// The first line is missing, incomplete or not the header of a spool.
     #[error("the first line is not the header of a spool")]
     InvalidHeader,
-    /// The spool belongs to another limiter.
+    /// The header names another limiter.
     #[error("the spool belongs to another limiter")]
     OtherSource,
 }
 
 impl Spool {
-    /// Reads the file of a spool that a process of this limiter has left behind.
+    /// Recovers a spool from the text of its file, written by an earlier process of this limiter.
     ///
     /// # Errors
-    /// Where the header is invalid or names another limiter; a new spool is to be begun then.
+    /// A [`SpoolError`] if the header is invalid or names another limiter; the caller then creates a new spool.
     pub fn recover(limiter: &str, text: &str) -> Result<RecoveredSpool, SpoolError> {
         let mut lines = text
             .split_inclusive('\n')
@@ -60,7 +60,7 @@
         let unfinished_attempts = spool.open_attempts.len();
         let mut lines = spool.end_unfinished_attempts();
         if !text.ends_with('\n') {
-            // A line that was truncated ends here, so that the next one is not appended to it.
+            // Ends a truncated last line, so that the next line is not appended to it.
             lines.insert(0, '\n');
         }
         Ok(RecoveredSpool {
@@ -71,7 +71,8 @@
         })
     }
 
-    /// Applies a line that was read. `None` where it does not fit the lines before it.
+    /// Applies a line of the file. Returns `None` if the line is inconsistent with the lines before it, or is a
+    /// malformed attempt end.
     fn replay(&mut self, line: Line) -> Option<()> {
         match line {
             Line::AttemptStarted {
--- a/crates/usage-export/src/spool/tests.rs
+++ b/crates/usage-export/src/spool/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the spool and of its recovery.
+//! Tests of [`Spool`] and its recovery.
 
 use super::*;
 
@@ -15,7 +15,8 @@
     file: String,
 }
 
-/// A spool after seeded random attempts, ends, batches and acknowledgements.
+/// Returns a spool after `steps` random operations: starts and ends of attempts, batches, acknowledgements and
+/// compactions.
 fn random_spool(seed: u64, steps: usize) -> SpoolWithFile {
     let mut spool = Spool::new(source());
     let mut file = spool.header();
@@ -50,7 +51,7 @@
     Spool::recover("a", file).expect("the header is valid")
 }
 
-/// Milliunits that were certainly executed, and those that may have been.
+/// Returns the executed milliunits, and the uncertain milliunits including those of open attempts.
 fn total(spool: &Spool) -> (u64, u64) {
     let mut sum = Usage::default();
     let batches = spool
@@ -69,7 +70,7 @@
 }
 
 #[test]
-fn recovered_spool_equals_the_lost_one_with_open_attempts_uncertain() {
+fn recovered_spool_equals_the_original_with_open_attempts_uncertain() {
     for seed in 0..200 {
         let SpoolWithFile { spool, mut file } = random_spool(seed, 60);
         let mut recovered = recover(&file);
@@ -87,7 +88,7 @@
             (&spool.pending_batches, spool.next_sequence),
             "seed {seed}"
         );
-        // Killed again after the next batch was cut: nothing is counted twice.
+        // A second recovery, after a further batch, counts nothing twice.
         file += &recovered.lines;
         file += &recovered.spool.cut_batch().unwrap_or_default();
         let again = recover(&file).spool;
@@ -99,7 +100,8 @@
     }
 }
 
-/// Truncated at every byte: recovery returns the content of the complete lines, and batches keep their numbers.
+/// Guards against lost or invented usage when a process is killed in the middle of a write: recovery from a file that
+/// is truncated at any byte returns the content of its complete lines.
 #[test]
 fn spool_truncated_at_any_byte_is_recovered_to_its_last_complete_line() {
     let file = random_spool(3, 80).file;
@@ -125,12 +127,12 @@
     assert_eq!(
         Spool::recover("a", &file[..line_ends[0] - 1]),
         Err(SpoolError::InvalidHeader),
-        "the header is incomplete"
+        "a header without its line feed is invalid"
     );
     assert_eq!(
         Spool::recover("b", &file),
         Err(SpoolError::OtherSource),
-        "another limiter's"
+        "the spool of another limiter is rejected"
     );
 }
 
@@ -166,18 +168,18 @@
     assert_eq!(
         recover(&file).spool.next_sequence,
         2,
-        "sequence numbers are not used again"
+        "sequence numbers are not reused"
     );
 }
 
-/// The line's check is right, so that the attempt is known to have ended, but not for how much.
+/// The checksum of the line is valid, so that the attempt is known to have ended, but its usage is unknown.
 #[test]
 fn end_of_an_attempt_without_valid_usage_is_corrupt_and_closes_the_attempt() {
     for end in ["- 1", "- 1 x", "- 1 1.2"] {
         let mut spool = Spool::new(source());
         let mut file = spool.header();
         file += &spool.start_attempt(5, 1.0).line;
-        file += &crate::record::seal_line(end);
+        file += &crate::record::encode_line(end);
         let recovered = recover(&file);
         assert_eq!(
             (recovered.corrupt_lines, recovered.unfinished_attempts),
@@ -189,7 +191,7 @@
 }
 
 #[test]
-fn compacted_file_is_short_and_holds_the_same() {
+fn compacted_file_is_short_and_has_the_same_content() {
     let mut spool = random_spool(1, 40).spool;
     for _ in 0..MIN_COMPACTION_LINES {
         let started = spool.start_attempt(9, 1.0);
--- a/crates/usage-export/src/usage.rs
+++ b/crates/usage-export/src/usage.rs
@@ -1,25 +1,25 @@
-//! Usage, its sums by customer, and the batches that it is exported in.
+//! Usage, its sums by customer, and the batches in which it is exported.
 
 use std::collections::BTreeMap;
 
 const MILLIUNITS_PER_UNIT: f64 = 1_000.0;
 
-/// A customer's identifier.
+/// The numeric identifier of a customer.
 pub type Customer = u64;
 
-/// Usage in thousandths of a unit: integers add up to the same sum in every order.
+/// Usage in thousandths of a unit, as integers, whose sum does not depend on the order of addition.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Usage {
-    /// Usage of attempts that a host has executed.
+    /// The usage of attempts that a host has executed, in thousandths of a unit.
     pub executed_milliunits: u64,
-    /// Usage of attempts whose outcome is not known, so that a host may have executed them.
+    /// The usage of attempts that a host may have executed, as their outcome is unknown, in thousandths of a unit.
     pub uncertain_milliunits: u64,
-    /// How many attempts a host has executed.
+    /// The number of attempts that a host has executed.
     pub executed_attempts: u32,
 }
 
 impl Usage {
-    /// Adds another usage, up to the greatest value.
+    /// Adds another usage; each field saturates at its maximum.
     pub fn add(&mut self, other: Usage) {
         self.executed_milliunits = self
             .executed_milliunits
@@ -33,37 +33,37 @@
     }
 }
 
-/// Sums of usage by customer.
+/// The sum of usage of each customer.
 pub type UsageByCustomer = BTreeMap<Customer, Usage>;
 
-/// Converts units to thousandths. NaN and negative values become 0.
+/// Converts units to thousandths, rounded to the nearest integer. NaN and negative values become 0.
 pub fn to_milliunits(units: f64) -> u64 {
     (units.max(0.0) * MILLIUNITS_PER_UNIT).round() as u64
 }
 
-/// The spool that a batch comes from.
+/// The identity of a spool, from which batches come.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Source {
     /// The limiter's name, without spaces.
     pub name: String,
-    /// When the spool was created, in nanoseconds of Unix time. It distinguishes the spools of one limiter.
+    /// The Unix time of the spool's creation in nanoseconds, which distinguishes the spools of one limiter.
     pub epoch: u64,
 }
 
-/// A numbered part of a spool. Its sums never change once it has its sequence number.
+/// A numbered part of a spool's usage, which never changes once it has its sequence number.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Batch {
-    /// The sequence number in its spool, from 1.
+    /// The sequence number in the spool, starting at 1.
     pub sequence: u64,
-    /// The sums.
+    /// The usage of each customer in the batch.
     pub usage: UsageByCustomer,
 }
 
-/// Identifies a batch.
+/// The identity of a batch.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct BatchId {
-    /// The spool that it comes from.
+    /// The spool that the batch comes from.
     pub source: Source,
-    /// Its sequence number there.
+    /// The sequence number in that spool, starting at 1.
     pub sequence: u64,
 }
--- a/crates/usage-export/tests/stored_format.rs
+++ b/crates/usage-export/tests/stored_format.rs
@@ -1,4 +1,5 @@
-//! The text of export messages, spool lines and sink lines, as other versions of the limiter write and read them.
+//! The text format of export messages, spool lines and sink lines, which must stay compatible with other versions of
+//! the limiter.
 
 use quartzcleat_usage_export::*;
 
@@ -27,7 +28,7 @@
 }
 
 #[test]
-fn each_export_message_keeps_its_text() {
+fn text_of_each_export_message_is_stable() {
     let acknowledgement = Message::Acknowledge {
         epoch: 7,
         sequence: 12,
@@ -47,7 +48,7 @@
 }
 
 #[test]
-fn each_spool_line_keeps_its_text() {
+fn text_of_each_spool_line_is_stable() {
     let mut spool = Spool::new(source());
     let mut file = spool.header();
     for (customer, outcome) in [
@@ -79,9 +80,9 @@
     );
 }
 
-/// Lines that only a compacted spool has: usage outside a batch, and an attempt that is still open.
+/// Includes the lines that compaction writes for usage outside batches and for open attempts.
 #[test]
-fn a_compacted_spool_keeps_its_text() {
+fn text_of_a_compacted_spool_is_stable() {
     let mut spool = Spool::new(source());
     for _ in 0..2_100 {
         let started = spool.start_attempt(5, 1.0);
@@ -103,7 +104,7 @@
 }
 
 #[test]
-fn a_sink_line_keeps_its_text() {
+fn text_of_a_sink_line_is_stable() {
     let record = SinkRecord {
         source: source(),
         batch: batch(),
