--- a/crates/lease/src/envelope.rs
+++ b/crates/lease/src/envelope.rs
@@ -48,13 +48,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Error)]
 pub enum EnvelopeError {
     /// The datagram's length differs from the one in its header.
-    #[error("the length is not the one in the header")]
+    #[error("datagram length does not match its header")]
     LengthMismatch,
     /// The version differs from [`VERSION`] by more than 1.
-    #[error("unsupported version")]
+    #[error("unsupported envelope version")]
     UnsupportedVersion,
     /// The MAC was not computed with the shared key.
-    #[error("not authenticated by the shared key")]
+    #[error("datagram is not authenticated with the shared key")]
     Unauthenticated,
 }
 
--- a/crates/lease/src/fencing.rs
+++ b/crates/lease/src/fencing.rs
@@ -16,7 +16,7 @@
 
 /// The error for an operation whose token is lower than one that the target has already admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("a later lease holder has acted: its fencing token is of round {}", highest.round)]
+#[error("stale fencing token: a later lease holder has used a token of round {}", highest.round)]
 pub struct StaleToken {
     /// The highest token that the target has admitted.
     pub highest: FencingToken,
--- a/crates/lease/src/message.rs
+++ b/crates/lease/src/message.rs
@@ -76,13 +76,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Error)]
 pub enum MessageError {
     /// The message is truncated, or further bytes follow it.
-    #[error("the length is not the one that the message states")]
+    #[error("message length does not match its fields")]
     LengthMismatch,
     /// This version does not support the message kind.
     #[error("unknown message kind")]
     UnknownKind,
     /// The task's name is empty, too long or not UTF-8.
-    #[error("the task's name is not 1 to {MAX_TASK_BYTES} bytes of text")]
+    #[error("task name is not 1 to {MAX_TASK_BYTES} bytes of UTF-8")]
     InvalidTask,
 }
 
--- a/crates/usage-export/src/message.rs
+++ b/crates/usage-export/src/message.rs
@@ -35,16 +35,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum MessageError {
     /// The message is longer than [`MAX_MESSAGE_BYTES`].
-    #[error("longer than {MAX_MESSAGE_BYTES} bytes")]
+    #[error("message is longer than {MAX_MESSAGE_BYTES} bytes")]
     TooLong,
     /// The message is not UTF-8.
-    #[error("not UTF-8")]
+    #[error("message is not valid UTF-8")]
     NotText,
     /// This version does not support the message kind.
     #[error("unknown message kind")]
     UnknownKind,
     /// The fields are missing, malformed or too many for the message kind.
-    #[error("the fields are not those of the message kind")]
+    #[error("invalid fields for the message kind")]
     InvalidFields,
 }
 
--- a/crates/usage-export/src/spool/recovery.rs
+++ b/crates/usage-export/src/spool/recovery.rs
@@ -23,10 +23,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum SpoolError {
     /// The first line is missing, incomplete or not the header of a spool.
-    #[error("the first line is not the header of a spool")]
+    #[error("first line is not a valid spool header")]
     InvalidHeader,
     /// The header names another limiter.
-    #[error("the spool belongs to another limiter")]
+    #[error("spool belongs to another limiter")]
     OtherSource,
 }
 
