--- a/crates/lease/src/stagger.rs
+++ b/crates/lease/src/stagger.rs
@@ -1,5 +1,5 @@
 //! Staggered proposals: each limiter waits for its own delay before it proposes, so that the limiters do not all
-//! contend for a free lease at once, and different tasks go to different limiters.
+//! contend for a free lease at the same time, and different tasks go to different limiters.
 
 use crate::Nanos;
 
