--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -1,4 +1,4 @@
-//! `quartzcleat check`: reads configurations as a limiter would, and reports every fault.
+//! `quartzcleat check`: parses configurations as a limiter would and reports every fault.
 
 use super::{print, serve, Format};
 use crate::net::config;
@@ -9,13 +9,13 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Exit code where there is nothing to check.
+/// Exit code if there is nothing to check.
 const EXIT_NO_FILES: u8 = 2;
 
 /// Read configuration files and report all their faults.
 ///
-/// A file is a platform's configuration (JSON with listen, discovery, settings), or the settings of a
-/// deployment alone (JSON or YAML). The product configuration is checked with --config. No process is started and no
+/// A file holds either a platform's configuration (JSON with listen, discovery and settings) or only the settings of a
+/// deployment (JSON or YAML). To check the product configuration, pass it as --config. No process is started and no
 /// address is opened.
 #[derive(Debug, Args)]
 #[expect(
@@ -23,16 +23,17 @@
     reason = "the comments are the text of --help, where backticks would be shown"
 )]
 pub struct Check {
-    /// Configurations and deployment files; the file of BALANCER_CONFIG if none is named.
+    /// Configuration and deployment files; the file that BALANCER_CONFIG names if none is given.
     files: Vec<PathBuf>,
-    /// The format of the report.
+    /// Output format of the report.
     #[arg(long, value_enum, default_value_t)]
     format: Format,
 }
 
-/// A checked file and its faults.
+/// The result of checking one file.
 struct CheckedFile {
     file: String,
+    /// One line per fault; empty if the file is valid.
     faults: Vec<String>,
 }
 
@@ -43,14 +44,16 @@
 }
 
 impl Check {
-    /// Checks the files and prints the report.
+    /// Checks the files, prints the report and returns the exit code.
+    ///
+    /// `product` is the path of the product configuration, `None` if there is none to check.
     pub fn run(self, product: Option<&Path>) -> ExitCode {
         let mut files = self.files;
         if files.is_empty() {
             files.extend(std::env::var_os("BALANCER_CONFIG").map(PathBuf::from));
         }
         if files.is_empty() && product.is_none() {
-            eprintln!("quartzcleat: no file to check; name one, or set BALANCER_CONFIG");
+            eprintln!("quartzcleat: no file to check; pass one or set BALANCER_CONFIG");
             return ExitCode::from(EXIT_NO_FILES);
         }
         let mut checked: Vec<CheckedFile> = product.map(check_product).into_iter().collect();
@@ -83,10 +86,10 @@
     }
 }
 
-/// The fault of a limiter's complete configuration, which has more than the settings of a deployment: addresses, limits, and
-/// the last endpoint list. None for a file of settings alone.
+/// Returns the fault of a limiter's complete configuration, which holds addresses, limits and the last endpoint list in
+/// addition to a deployment's settings. `None` if it is valid or the file holds settings alone.
 fn check_complete_configuration(path: &Path) -> Option<String> {
-    // The file was read before; if it has vanished since, there is nothing more to check.
+    // `read_deployment` has read the file before; if it has been removed since, there is nothing more to check.
     let text = std::fs::read_to_string(path).unwrap_or_default();
     let file: Value = serde_json::from_str(&text).ok()?;
     file.get("settings")?;
--- a/src/cli/used.rs
+++ b/src/cli/usage.rs
@@ -1,4 +1,4 @@
-//! `quartzcleat usage`: the usage of each customer in a sink.
+//! `quartzcleat usage`: adds up the usage of each customer in a sink.
 
 use super::{print, Format};
 use crate::net::usage_export::{read_sink, read_spools};
@@ -10,31 +10,32 @@
 use std::process::ExitCode;
 use thiserror::Error;
 
-/// The exit code where batches are missing or in conflict.
+/// Exit code if batches are missing or a batch has conflicting contents.
 const EXIT_INCOMPLETE: u8 = 1;
 
-/// The exit code where a folder cannot be read.
+/// Exit code if a folder cannot be read.
 const EXIT_UNREADABLE: u8 = 2;
 
 const MILLIUNITS_PER_UNIT: f64 = 1_000.0;
 
 /// Add up the usage of each customer from a sink of exported usage records.
 ///
-/// A batch counts once, even if several files of the sink contain it. Exit code 1: batches are missing, or a batch has
-/// two contents; 2: a folder cannot be read.
+/// A batch counts once, even if several files of the sink contain it. Exit code 1: a batch is missing or has
+/// conflicting contents; 2: a folder cannot be read.
 #[derive(Debug, Args)]
-pub struct Used {
-    /// The sink's folder.
+pub struct Usage {
+    /// Folder of the sink.
     sink: PathBuf,
-    /// Folders of spools whose remaining usage is counted too: those of limiters that are removed or stopped.
+    /// Spool folder whose remaining usage is counted too, such as that of a removed or stopped limiter. May be given
+    /// several times.
     #[arg(long)]
     spool: Vec<PathBuf>,
-    /// The format of the report.
+    /// Output format of the report.
     #[arg(long, value_enum, default_value_t)]
     format: Format,
 }
 
-/// A folder that cannot be read.
+/// A sink or spool folder that cannot be read.
 #[derive(Debug, Error)]
 #[error("{folder}: {source}", folder = folder.display())]
 struct UnreadableFolder {
@@ -51,7 +52,7 @@
     }
 }
 
-impl Used {
+impl Usage {
     /// Prints the report and returns the exit code.
     pub fn run(self) -> ExitCode {
         let report = match self.read() {
@@ -100,7 +101,7 @@
         let executed = to_units(usage.executed_milliunits);
         let uncertain = to_units(usage.uncertain_milliunits);
         let attempts = usage.executed_attempts;
-        // Writing to a string cannot fail, here and below.
+        // Writing to a string cannot fail.
         let _ = writeln!(
             text,
             "{customer:016x} {executed:>14.3} {uncertain:>14.3} {attempts:>10}"
--- a/src/net/limiter.rs
+++ b/src/net/limiter.rs
@@ -122,7 +122,7 @@
             self.start_leases(lease).await?;
         }
         // An endpoint list handed over by another process takes precedence over the one in the configuration.
-        self.hot_restart.look();
+        self.hot_restart.poll_other_processes();
         self.discovery.restore(&options.known_hosts)?;
         self.start_service_clients(options.backoff);
         let admin_listener = match options.admin {
@@ -149,7 +149,7 @@
         let hot_restart = self.hot_restart.clone();
         shutdown::watch(&self.shutdown, move || {
             // Another process may have started a moment ago.
-            hot_restart.look();
+            hot_restart.poll_other_processes();
             hot_restart.successor()
         })?;
         self.reloader.watch()?;
@@ -201,7 +201,7 @@
     async fn finish(&self) {
         let answer_deadline = self
             .shutdown
-            .last_answers(&self.limits)
+            .final_answer_deadline(&self.limits)
             .unwrap_or_else(Instant::now);
         let mut connections = self.shutdown.subscribe_connections();
         // On a timeout, the requests that are still open are failed below.
--- a/src/net/stages/accept.rs
+++ b/src/net/stages/accept.rs
@@ -8,7 +8,7 @@
 use tokio::time::Instant;
 
 /// Accepts a request. Rejects it immediately past the limits on open requests and buffered bytes and from
-/// [`Phase::LastCall`] on, and fails it if its id is still in use.
+/// [`Phase::Rejecting`] on, and fails it if its id is still in use.
 pub fn accept(
     pipeline: &Rc<Pipeline>,
     frontend: Rc<dyn Frontend>,
@@ -16,7 +16,7 @@
     mut request: Request,
 ) {
     let arrived = Instant::now();
-    if !pipeline.engine.has_capacity() || pipeline.shutdown.phase() >= Phase::LastCall {
+    if !pipeline.engine.has_capacity() || pipeline.shutdown.phase() >= Phase::Rejecting {
         let retry_after = pipeline.limits.requests.capacity_retry_after.get();
         return frontend.answer(sequence, Answer::Rejected { retry_after });
     }
@@ -25,8 +25,8 @@
         return frontend.answer(sequence, Answer::Failed);
     }
     // No request may still be open when the process must exit.
-    if let Some(last_answers) = pipeline.shutdown.last_answers(&pipeline.limits) {
-        let remaining = last_answers.saturating_duration_since(arrived);
+    if let Some(final_answer_deadline) = pipeline.shutdown.final_answer_deadline(&pipeline.limits) {
+        let remaining = final_answer_deadline.saturating_duration_since(arrived);
         request.wait = request.wait.min(remaining);
     }
     let reply_to = ReplyTo { frontend, sequence };
