--- a/crates/expectations/src/attribution.rs
+++ b/crates/expectations/src/attribution.rs
@@ -1,5 +1,7 @@
-//! Attributes a verdict to lines of configuration by search: the keys that change it, one by one and in groups. The search
-//! does not use the meaning of a key.
+//! Attribution of a verdict to lines of configuration.
+//!
+//! The search tries alternative values of the keys, one by one and in groups, and reports the keys that change the
+//! verdict. It does not use the meaning of a key.
 
 mod alternatives;
 mod minimize;
@@ -14,39 +16,39 @@
 use quartzcleat_config::Deployment;
 use serde::Serialize;
 
-/// The most runs for one alternative configuration.
+/// Maximum number of runs for one alternative configuration.
 const MAX_RUNS: u64 = 200;
-/// The most events for one alternative configuration.
+/// Maximum number of events, over all runs, for one alternative configuration.
 const MAX_EVENTS: u64 = 100_000;
-/// How many alternatives of a section's keys are tried together.
+/// Number of alternative configurations tried per section, in which all of its keys change together.
 const SECTION_ALTERNATIVES: usize = 4;
-/// How a key that is not set is shown.
+/// Text shown in place of the value of a key that is not set.
 const NOT_SET: &str = "nothing";
 
 /// A line of configuration on which a verdict depends.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct SourceLine {
-    /// The file.
+    /// The configuration file, as it was named when read.
     pub file: String,
-    /// The line.
+    /// The line number in the file.
     pub line: u32,
-    /// The key.
+    /// The dotted path of the key.
     pub key: String,
-    /// Its value.
+    /// The configured value, a time with its unit; `nothing` where the key is not set.
     #[serde(rename = "says")]
     pub value: String,
-    /// The value that changes the verdict.
+    /// The value that changes the verdict, in the same form.
     #[serde(rename = "would")]
     pub alternative: String,
 }
 
-/// The lines of configuration behind a verdict.
+/// The lines of configuration that are responsible for a verdict.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct SourceAttribution {
-    /// Sets of lines. Each set, changed to its alternatives, changes the verdict.
+    /// Sets of lines. Changing all lines of one set to their alternatives changes the verdict.
     #[serde(rename = "sets")]
     pub line_sets: Vec<Vec<SourceLine>>,
-    /// How many other configurations were tried.
+    /// The number of alternative configurations tried; 0 where there was no search.
     #[serde(rename = "tried")]
     pub configurations: u64,
 }
@@ -60,7 +62,7 @@
 }
 
 impl Subject<'_> {
-    /// Whether the expectation holds, and was exercised, in a deployment; `None` where it cannot be compiled.
+    /// Returns whether the expectation holds and is exercised in a deployment, or `None` if it does not compile for it.
     fn holds(&self, deployment: &Deployment) -> Option<bool> {
         let budget = Budget {
             max_runs: self.budget.max_runs.min(MAX_RUNS),
@@ -77,17 +79,17 @@
     }
 }
 
-/// Tries changes of a deployment.
+/// A search for changes of a deployment that bring a verdict.
 struct Search<'a> {
     subject: Subject<'a>,
     base: &'a Deployment,
-    /// The wanted verdict: whether the expectation holds.
+    /// The verdict searched for: `true` if the expectation is to hold.
     wanted: bool,
     configurations: u64,
 }
 
 impl Search<'_> {
-    /// Whether the deployment has the wanted verdict with these changes.
+    /// Returns whether the deployment has the wanted verdict after these changes, and counts the attempt.
     fn has_wanted_verdict(&mut self, changes: &[Change]) -> bool {
         self.configurations += 1;
         self.base
@@ -97,8 +99,8 @@
             == Some(self.wanted)
     }
 
-    /// The keys each of which brings the wanted verdict alone.
-    fn single_keys(&mut self, keys: &[Leaf<'_>]) -> Vec<Vec<SourceLine>> {
+    /// Returns one set for each key that brings the wanted verdict on its own.
+    fn search_single_keys(&mut self, keys: &[Leaf<'_>]) -> Vec<Vec<SourceLine>> {
         let mut line_sets = Vec::new();
         for Leaf { path, node } in keys {
             let alternative = alternatives(self.base, path, node)
@@ -111,8 +113,8 @@
         line_sets
     }
 
-    /// The keys that bring the wanted verdict together with others of their section.
-    fn sections(&mut self, keys: &[Leaf<'_>]) -> Vec<Vec<SourceLine>> {
+    /// Returns, for each section, the smallest set of its keys found that brings the wanted verdict.
+    fn search_sections(&mut self, keys: &[Leaf<'_>]) -> Vec<Vec<SourceLine>> {
         let mut sections: Vec<&str> = keys
             .iter()
             .filter_map(|key| section_of(&key.path))
@@ -124,13 +126,13 @@
                 .iter()
                 .filter(|key| section_of(&key.path) == Some(section))
                 .collect();
-            line_sets.extend(self.section(&members));
+            line_sets.extend(self.search_section(&members));
         }
         line_sets
     }
 
-    /// The smallest set of a section's keys that brings the wanted verdict.
-    fn section(&mut self, members: &[&Leaf<'_>]) -> Option<Vec<SourceLine>> {
+    /// Returns the smallest set found of a section's keys that brings the wanted verdict, or `None` if there is none.
+    fn search_section(&mut self, members: &[&Leaf<'_>]) -> Option<Vec<SourceLine>> {
         for position in 0..SECTION_ALTERNATIVES {
             let changes: Vec<Change> = members
                 .iter()
@@ -151,8 +153,10 @@
     }
 }
 
-/// Attributes a failure without another file to compare with: each key takes its default and neighbouring values,
-/// alone and then with the rest of its section.
+/// Attributes a failure to settings when there is no other deployment to compare with.
+///
+/// Each key takes its default and nearby values, first on its own. If no single key changes the verdict, all keys of
+/// a section change together.
 pub(crate) fn attribute_to_settings(
     subject: Subject<'_>,
     deployment: &Deployment,
@@ -164,9 +168,9 @@
         configurations: 0,
     };
     let keys = deployment.keys();
-    let mut line_sets = search.single_keys(&keys);
+    let mut line_sets = search.search_single_keys(&keys);
     if line_sets.is_empty() {
-        line_sets = search.sections(&keys);
+        line_sets = search.search_sections(&keys);
     }
     SourceAttribution {
         line_sets,
@@ -174,7 +178,7 @@
     }
 }
 
-/// Attributes a verdict of a new deployment to the smallest set of changes from an old one that brings it.
+/// Attributes a verdict of a new deployment to the smallest set of changes from the old one that brings it.
 pub(crate) fn attribute_to_changes(
     subject: Subject<'_>,
     old: &Deployment,
@@ -203,7 +207,7 @@
     }
 }
 
-/// The keys that differ between two deployments, as changes that make the old one the new one.
+/// Returns the changes that turn the old deployment into the new one.
 pub(crate) fn changes_between(old: &Deployment, new: &Deployment) -> Vec<Change> {
     let is_changed = |path: &str, node: &Node| {
         let old_node = old.tree.at(path);
--- a/crates/expectations/src/attribution/alternatives.rs
+++ b/crates/expectations/src/attribution/alternatives.rs
@@ -1,4 +1,4 @@
-//! Alternative values of a configuration key, and how values are shown.
+//! Alternative values of a configuration key, and the display form of values.
 
 use super::NOT_SET;
 use quartzcleat_config::platform::{key_of, Kind, SettingKey};
@@ -6,18 +6,20 @@
 use quartzcleat_config::tree::{Content, Node};
 use quartzcleat_config::Deployment;
 
-/// Factors to neighbouring values.
+/// Factors by which a nonzero value is multiplied.
 const FACTORS: [f64; 6] = [0.5, 2.0, 0.125, 8.0, 1.0 / 64.0, 64.0];
-/// Values in place of a zero: seconds for a time.
+/// Values tried in place of zero: in seconds for a time.
 const NONZERO_VALUES: [f64; 3] = [1.0, 10.0, 100.0];
-/// Nanoseconds in a second.
 const NANOS_PER_SECOND: f64 = 1e9;
-/// A whole number from this on is a count, and its neighbours are whole.
+/// A whole number of at least this much is taken as a count, and its alternatives are rounded to whole numbers.
 const SMALLEST_COUNT: f64 = 8.0;
-/// The most members of a list whose values are tried.
+/// Maximum number of list members whose values are tried.
 const MAX_LIST_MEMBERS: usize = 16;
 
-/// The values that a key could have instead: its default, then its neighbours.
+/// Returns the values to try in place of a key's present one.
+///
+/// For a time or a number these are its default, the values of the same key in other members of its list, and nearby
+/// values, in this order. The list is empty for a name or an unknown key.
 pub(super) fn alternatives(deployment: &Deployment, path: &str, node: &Node) -> Vec<Content> {
     let Some(SettingKey { kind, default, .. }) = key_of(path) else {
         return Vec::new();
@@ -43,7 +45,7 @@
             let mut values: Vec<Content> = default.map(Content::Number).into_iter().collect();
             values.extend(values_of_siblings(deployment, path));
             values.extend(
-                neighbours(present, is_time)
+                nearby_values(present, is_time)
                     .into_iter()
                     .map(Content::Number),
             );
@@ -60,7 +62,7 @@
     }
 }
 
-/// The values of the same key in the other members of its list.
+/// Returns the values of the same key in the other members of its list.
 fn values_of_siblings(deployment: &Deployment, path: &str) -> Vec<Content> {
     let parts: Vec<&str> = path.split('.').collect();
     let [list, number, key] = parts.as_slice() else {
@@ -73,7 +75,7 @@
         .collect()
 }
 
-fn neighbours(present: f64, is_time: bool) -> Vec<f64> {
+fn nearby_values(present: f64, is_time: bool) -> Vec<f64> {
     let mut values = Vec::new();
     if present == 0.0 {
         let unit = if is_time { NANOS_PER_SECOND } else { 1.0 };
@@ -94,7 +96,7 @@
     values
 }
 
-/// A value as it is shown: times with their unit.
+/// Formats a value for display: times have a unit, and a value of an unsupported kind is [`NOT_SET`].
 pub(super) fn show(path: &str, content: &Content) -> String {
     let kind = key_of(path).map(|key| key.kind);
     match (content, kind) {
--- a/crates/expectations/src/attribution/minimize.rs
+++ b/crates/expectations/src/attribution/minimize.rs
@@ -1,11 +1,13 @@
-//! Delta debugging over changes.
+//! Delta debugging over configuration changes.
 
 use quartzcleat_config::deployment::Change;
 
 #[cfg(test)]
 mod tests;
 
-/// A subset of changes that still has an effect and from which no change can be left out.
+/// Returns a subset of changes that still has the effect and from which no single change can be left out.
+///
+/// Expects that all changes together have the effect.
 pub(super) fn minimize(
     mut changes: Vec<Change>,
     has_effect: &mut dyn FnMut(&[Change]) -> bool,
@@ -38,7 +40,7 @@
     changes
 }
 
-/// The changes of all chunks but one.
+/// Returns the changes of all chunks except the one at `index`.
 fn without(chunks: &[Vec<Change>], index: usize) -> Vec<Change> {
     let others = chunks
         .iter()
--- a/crates/expectations/src/check.rs
+++ b/crates/expectations/src/check.rs
@@ -1,5 +1,7 @@
-//! Checks all expectations of some files, for one deployment or several: each is explored and judged, and one
-//! that holds is varied to see whether it is vacuous.
+//! The check of expectation files for one or more deployments.
+//!
+//! Each expectation is explored and judged. One that holds is also explored under variations, to detect vacuous
+//! requirements.
 
 mod options;
 mod result;
@@ -19,7 +21,7 @@
 use rayon::iter::{IndexedParallelIterator, IntoParallelRefIterator, ParallelIterator};
 use std::time::Instant;
 
-/// Checks expectations.
+/// Checks all expectations that the options select, in parallel, and returns the report in the order of the files.
 #[must_use]
 pub fn check(options: &Options) -> CheckReport {
     let started = Instant::now();
@@ -32,7 +34,7 @@
         .build();
     let results = match pool {
         Ok(pool) => pool.install(|| tasks.par_iter().with_max_len(1).map(check_one).collect()),
-        // Without threads of its own the check is slower, not wrong.
+        // Without a thread pool the check runs sequentially, with the same results.
         Err(_) => tasks.iter().map(check_one).collect(),
     };
     CheckReport {
@@ -42,7 +44,7 @@
     }
 }
 
-/// The deployment with whose verdicts those of the others are compared, where one is named.
+/// Reads the deployment to compare verdicts with. Returns `None` if the options name none or if it has faults.
 fn read_compared_deployment(options: &Options, faults: &mut Faults) -> Option<Deployment> {
     match read_deployment(options.compare_with.as_ref()?) {
         Ok(deployment) => Some(deployment),
--- a/crates/expectations/src/check/options.rs
+++ b/crates/expectations/src/check/options.rs
@@ -3,39 +3,39 @@
 use crate::explore::Budget;
 use std::path::PathBuf;
 
-/// A setting that takes several values.
+/// A setting and the values that it takes in turn.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SettingRange {
-    /// The setting's name, as in formulas.
+    /// The setting's name, as written in formulas.
     pub name: String,
-    /// Its values.
+    /// The values, each of which makes a deployment of its own.
     pub values: Vec<f64>,
 }
 
 /// The options of a check.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Files of expectations, and folders of them.
+    /// Expectation files, and folders that contain them.
     pub paths: Vec<PathBuf>,
-    /// Other settings than the files name.
+    /// Settings file used in place of the one that each expectation file names; `None` to use that one.
     pub settings: Option<PathBuf>,
-    /// Settings with whose verdicts those of the others are compared.
+    /// Settings file to compare verdicts with; `None` for no comparison.
     pub compare_with: Option<PathBuf>,
-    /// Settings that take several values. Every combination is a deployment of its own.
+    /// Settings that take several values. Every combination of values is checked as a deployment of its own.
     pub ranges: Vec<SettingRange>,
-    /// Only expectations whose name contains this.
+    /// Substring of the names of the expectations to check; `None` for all.
     pub name_filter: Option<String>,
-    /// Only expectations for the settings of this deployment: their file's name without its extension.
+    /// Deployment whose expectations are checked: the name of its settings file without the extension; `None` for all.
     pub deployment: Option<String>,
-    /// How much each expectation is explored.
+    /// Limits of the exploration of each expectation.
     pub budget: Budget,
     /// Whether failures are attributed to lines of configuration.
     pub attribute_sources: bool,
-    /// Whether expectations that hold are varied to find vacuous ones.
+    /// Whether expectations that hold are explored under variations to find vacuous ones.
     pub check_vacuity: bool,
-    /// How many expectations are explored concurrently; 0 for one a core.
+    /// Number of expectations explored concurrently; 0 for one per core.
     pub jobs: usize,
-    /// Runs this path of choices alone.
+    /// Path of choices to run in place of an exploration; `None` to explore.
     pub replay: Option<Vec<usize>>,
 }
 
--- a/crates/expectations/src/check/result.rs
+++ b/crates/expectations/src/check/result.rs
@@ -1,4 +1,4 @@
-//! The results of a check. Their serialized form is that of the JSON report.
+//! The results of a check, serialized as the JSON report.
 
 use crate::attribution::SourceAttribution;
 use crate::explore::Exploration;
@@ -8,59 +8,59 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Verdict {
-    /// It holds in all runs, and was exercised.
+    /// It holds in all runs, and every requirement was exercised.
     Held,
-    /// It does not hold.
+    /// A run violates a requirement or an invariant.
     Failed,
     /// No run exercised one of its requirements.
     Untested,
     /// One of its requirements holds under every variation of the expectation.
     #[serde(rename = "says-nothing")]
     Vacuous,
-    /// It cannot be used.
+    /// It does not compile for the deployment.
     #[serde(rename = "faulty")]
     Invalid,
 }
 
 impl Verdict {
-    /// Whether the expectation holds, be it vacuously.
+    /// Returns whether the expectation holds, even if vacuously.
     #[must_use]
     pub fn holds(self) -> bool {
         matches!(self, Verdict::Held | Verdict::Vacuous)
     }
 }
 
-/// A failure, for reports.
+/// A failure as shown in reports.
 #[derive(Clone, Debug, Serialize)]
 pub struct FailureReport {
-    /// What happened.
+    /// The event or value that violates the requirement or invariant.
     #[serde(rename = "how")]
     pub description: String,
     /// The line of the requirement, or of the expectation where an invariant is violated.
     pub line: u32,
-    /// The path of choices that replays it.
+    /// The path of choices that replays the failure.
     pub path: Vec<usize>,
-    /// How many choices the run had that was first found to fail.
+    /// The number of choices in the failing run before its path was shortened.
     pub choices: usize,
-    /// The timeline of the run.
+    /// The timeline of the run until it fails, one entry per line.
     #[serde(rename = "story")]
     pub timeline: Vec<String>,
-    /// The lines of configuration behind it.
+    /// The lines of configuration that cause it; empty if none were found or searched for.
     #[serde(rename = "behind")]
     pub attribution: SourceAttribution,
 }
 
-/// A verdict that differs from the one under the settings compared with.
+/// A verdict that differs from the one under the compared settings.
 #[derive(Clone, Debug)]
 pub struct VerdictDifference {
-    /// The verdict under the settings compared with.
+    /// The verdict under the compared settings.
     pub compared: Verdict,
-    /// The changed lines that bring the other verdict.
+    /// The changed lines that cause the difference.
     pub attribution: SourceAttribution,
 }
 
 impl Serialize for VerdictDifference {
-    /// As a pair, the form of the JSON report.
+    /// Serializes as a pair, which is the form of the JSON report.
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         (self.compared, &self.attribution).serialize(serializer)
     }
@@ -69,55 +69,55 @@
 /// The result for one expectation and one deployment.
 #[derive(Clone, Debug, Serialize)]
 pub struct ExpectationResult {
-    /// The file.
+    /// The expectation file.
     pub file: String,
-    /// The line.
+    /// The line on which the expectation begins.
     pub line: u32,
-    /// The expectation's name.
+    /// The expectation's name, as written in the file.
     pub name: String,
-    /// The deployment's settings, with the values of ranges.
+    /// The name of the deployment's settings file, followed by the values of ranges.
     #[serde(rename = "day")]
     pub deployment: String,
-    /// The verdict.
+    /// The verdict for this deployment.
     pub verdict: Verdict,
-    /// Faults, or requirements that were not exercised or are vacuous.
+    /// Faults of an invalid expectation, or requirements that were not exercised or are vacuous.
     pub notes: Vec<String>,
-    /// The failure, where it fails.
+    /// The failure, or the run of a replayed path that holds; `None` if neither.
     pub failure: Option<FailureReport>,
-    /// The lines of configuration behind it, where no run exercised it.
+    /// The lines of configuration because of which it was not exercised; `None` for other verdicts.
     #[serde(rename = "behind")]
     pub attribution: Option<SourceAttribution>,
-    /// The difference to the verdict under the settings compared with, where there is one.
+    /// The difference from the verdict under the compared settings; `None` if both agree or none are compared.
     #[serde(rename = "differs")]
     pub difference: Option<VerdictDifference>,
-    /// How much was explored.
+    /// The extent of the exploration.
     pub explored: ExplorationCounts,
-    /// Seconds that it took.
+    /// Duration of the check of this expectation, in seconds.
     pub seconds: f64,
 }
 
-/// How much was explored.
+/// The extent of an exploration.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct ExplorationCounts {
-    /// Runs.
+    /// Number of runs, complete or stopped.
     #[serde(rename = "plays")]
     pub runs: u64,
-    /// Events.
+    /// Number of simulated events in all runs.
     pub events: u64,
-    /// Distinct states at choices.
+    /// Number of distinct states visited by the largest of the exhaustive searches.
     pub states: u64,
-    /// Runs that were stopped because their state had been visited.
+    /// Number of runs that were stopped at a state that had been visited already.
     #[serde(rename = "met")]
     pub stopped_runs: u64,
-    /// Random walks.
+    /// Number of random walks among the runs.
     #[serde(rename = "walks")]
     pub random_walks: u64,
-    /// The number of choices to which all ways were tried.
+    /// Number of choices from the start of a run to which the search was exhaustive.
     pub depth: usize,
-    /// Whether all ways were tried to the end.
+    /// Whether the search covered every path of choices to its end.
     #[serde(rename = "complete")]
     pub is_exhaustive: bool,
-    /// How often the requirement that was exercised least was exercised.
+    /// Number of times that the least exercised requirement was exercised.
     #[serde(rename = "tested")]
     pub exercised: u64,
 }
@@ -148,12 +148,13 @@
     pub results: Vec<ExpectationResult>,
     /// Faults of the files, one line each.
     pub faults: Vec<String>,
-    /// Seconds that all took.
+    /// Duration of the whole check, in seconds.
     pub seconds: f64,
 }
 
 impl CheckReport {
-    /// The exit code: 0 where all hold, 1 where one does not, 2 where something cannot be used.
+    /// Returns the exit code: 1 if an expectation failed, was not exercised or is vacuous; otherwise 2 if there are
+    /// faults, invalid expectations or no results; otherwise 0.
     #[must_use]
     pub fn exit_code(&self) -> u8 {
         let has = |verdicts: &[Verdict]| {
--- a/crates/expectations/src/check/single.rs
+++ b/crates/expectations/src/check/single.rs
@@ -16,7 +16,7 @@
 use quartzcleat_config::{Deployment, Faults};
 use std::time::Instant;
 
-/// Checks one expectation. Its verdict is compared with the one for another deployment, where there is one.
+/// Checks one expectation, and compares its verdict with the one for the `compared` deployment, if any.
 pub(super) fn check(
     task: &CheckTask,
     compared: Option<&Deployment>,
@@ -70,12 +70,12 @@
         result
     }
 
-    /// Runs one path of choices alone.
+    /// Runs one path of choices in place of an exploration.
     fn replay(&self, compiled: &CompiledExpectation, path: &[usize]) -> ExpectationResult {
         let (verdict, failure) = match replay(compiled, path) {
             Replay::Failed(failure) => (Verdict::Failed, failure),
             Replay::Held(records) => {
-                let nothing = Failure {
+                let no_failure = Failure {
                     path: path.to_vec(),
                     choices: path.len(),
                     requirement: None,
@@ -86,7 +86,7 @@
                     },
                     records,
                 };
-                (Verdict::Held, nothing)
+                (Verdict::Held, no_failure)
             }
         };
         let mut result = self.result(verdict);
@@ -95,7 +95,7 @@
         result
     }
 
-    /// Explores the expectation.
+    /// Explores the expectation, and adds vacuity, attribution and comparison as the options ask for them.
     fn explore(&self, compiled: &CompiledExpectation) -> ExpectationResult {
         let exploration = explore(compiled, &self.options.budget);
         let mut result = self.result(verdict(&exploration));
@@ -131,7 +131,7 @@
         }
     }
 
-    /// The lines of configuration because of which the expectation does not hold.
+    /// Finds the lines of configuration because of which the expectation does not hold.
     fn attribute(&self) -> SourceAttribution {
         let deployment = &self.task.deployment;
         match self.compared {
@@ -142,7 +142,7 @@
         }
     }
 
-    /// The difference to the verdict for the deployment compared with, where there is one.
+    /// Returns the difference from the verdict for the compared deployment, or `None` if both hold or neither does.
     fn difference(&self, result: &ExpectationResult) -> Option<VerdictDifference> {
         let old = self.compared?;
         let compiled = compile(&self.task.suite, &self.task.expectation, old).ok()?;
@@ -198,7 +198,7 @@
     }
 }
 
-/// The requirements that no run exercised, where none failed.
+/// Returns a note for each requirement that no run exercised; none if there is a failure.
 fn unexercised_notes(compiled: &CompiledExpectation, exploration: &Exploration) -> Vec<String> {
     if exploration.failure.is_some() {
         return Vec::new();
--- a/crates/expectations/src/check/tasks.rs
+++ b/crates/expectations/src/check/tasks.rs
@@ -1,4 +1,4 @@
-//! What options name: each expectation for each deployment.
+//! The tasks of a check: each selected expectation for each deployment.
 
 use super::options::{Options, SettingRange};
 use crate::suite::{self, Expectation, Suite};
@@ -10,23 +10,23 @@
 use std::path::Path;
 use std::sync::Arc;
 
-/// An expectation is not checked for more deployments than this.
+/// Maximum number of deployments that the ranges of one expectation may make.
 const MAX_DEPLOYMENTS: usize = 64;
 
-/// One expectation that is to be checked for one deployment.
+/// One expectation to check for one deployment.
 #[derive(Clone, Debug)]
 pub struct CheckTask {
-    /// The file's givens.
+    /// The expectation file, with what it gives for all its expectations.
     pub suite: Arc<Suite>,
-    /// The expectation.
+    /// The expectation to check.
     pub expectation: Expectation,
-    /// The deployment.
+    /// The deployment, with the values of ranges applied.
     pub deployment: Deployment,
-    /// The deployment's name, with the values of ranges.
+    /// The name of the deployment's settings file, followed by the values of ranges.
     pub label: String,
 }
 
-/// A deployment that a range makes of another one.
+/// One combination of the values of ranges, as changes of a deployment.
 #[derive(Clone, Default)]
 struct Combination {
     changes: Vec<Change>,
@@ -47,7 +47,7 @@
 /// Reads the settings of a deployment from a file.
 ///
 /// # Errors
-/// All its faults.
+/// Returns all faults of the file, or one fault if it cannot be read.
 pub fn read_deployment(path: &Path) -> Result<Deployment, Faults> {
     let name = path.display().to_string();
     match std::fs::read_to_string(path) {
@@ -61,7 +61,7 @@
     }
 }
 
-/// What options name: each expectation for each deployment, beside the faults of the others.
+/// Returns a task for each selected expectation and deployment. Faults of files and expectations are added to `faults`.
 pub fn plan(options: &Options, faults: &mut Faults) -> Vec<CheckTask> {
     let mut tasks = Vec::new();
     for suite in read_suites(options, faults) {
@@ -128,7 +128,7 @@
     suites
 }
 
-/// Keeps only the suites that are meant for a deployment.
+/// Keeps only the suites whose settings file has this name without its extension. Adds a fault if there is none.
 fn select_deployment(suites: &mut Vec<Arc<Suite>>, name: &str, faults: &mut Faults) {
     let deployment_of = |suite: &Suite| {
         let stem = suite.settings.file_stem();
@@ -147,7 +147,7 @@
     }
 }
 
-/// A deployment and its name, with the values of ranges.
+/// A deployment and its label: the settings file, followed by the values of ranges.
 struct NamedDeployment {
     deployment: Deployment,
     label: String,
@@ -176,7 +176,7 @@
     faults.into_result(deployments)
 }
 
-/// The ranges that an expectation gives.
+/// Returns the ranges that an expectation gives.
 fn own_ranges(expectation: &Expectation, faults: &mut Faults) -> Vec<SettingRange> {
     let range = expectation.given.get("range").map(|node| &node.content);
     let Some(Content::Map(members)) = range else {
@@ -202,7 +202,7 @@
     ranges
 }
 
-/// The numbers of a list that is not empty.
+/// Returns the numbers of a list, or `None` if it is empty or has another kind of member.
 fn range_values(node: &Node) -> Option<Vec<f64>> {
     let values: Vec<f64> = list(node)
         .iter()
@@ -214,7 +214,7 @@
     (!values.is_empty()).then_some(values)
 }
 
-/// All combinations of the values of ranges.
+/// Returns all combinations of the values of ranges.
 fn combine(
     expectation: &Expectation,
     deployment: &Deployment,
--- a/crates/expectations/src/check/timeline.rs
+++ b/crates/expectations/src/check/timeline.rs
@@ -1,13 +1,13 @@
-//! The timeline of a failure, shortened to the entries that a reader needs.
+//! The timeline of a failure, without entries of no interest.
 
 use crate::explore::Failure;
 use quartzcleat_decision::api::HostState;
 use quartzcleat_invariants::{timeline, Fact, Processes, Record};
 
-/// The most lines of a timeline; the middle of a longer one is left out.
+/// Maximum number of lines of a timeline. The middle of a longer one is omitted.
 const MAX_LINES: usize = 60;
 
-/// The lines of a failure's timeline, until it fails.
+/// Returns the lines of a run's timeline until its failure, or to the end of the run if the failure's time is 0.
 pub(super) fn failure_timeline(processes: &Processes, failure: &Failure) -> Vec<String> {
     let start = failure.records.first().map_or(0, |record| record.at);
     let end = failure.violation.at;
@@ -18,10 +18,11 @@
         .filter(|record| !(record.at == start && is_ready_host(&record.fact)))
         .cloned()
         .collect();
-    leave_out_middle(timeline::render(processes, &records))
+    omit_middle(timeline::render(processes, &records))
 }
 
-/// Every limiter learns of the ready hosts at its start, which goes without saying.
+/// Returns whether a limiter learned of a ready host. At the start of a run every limiter does, so these entries are
+/// omitted there.
 fn is_ready_host(fact: &Fact) -> bool {
     matches!(
         fact,
@@ -32,14 +33,14 @@
     )
 }
 
-fn leave_out_middle(mut lines: Vec<String>) -> Vec<String> {
+fn omit_middle(mut lines: Vec<String>) -> Vec<String> {
     if lines.len() <= MAX_LINES {
         return lines;
     }
-    let left_out = lines.len() - MAX_LINES;
+    let omitted = lines.len() - MAX_LINES;
     let end = lines.split_off(lines.len() - MAX_LINES / 2);
     lines.truncate(MAX_LINES / 2);
-    lines.push(format!("{:>12}  ({left_out} lines left out)", "..."));
+    lines.push(format!("{:>12}  ({omitted} lines left out)", "..."));
     lines.extend(end);
     lines
 }
--- a/crates/expectations/src/check/vacuity.rs
+++ b/crates/expectations/src/check/vacuity.rs
@@ -1,4 +1,4 @@
-//! Finds vacuous requirements: they hold under every variation of their expectation.
+//! Detection of vacuous requirements, which hold under every variation of their expectation.
 
 use super::tasks::CheckTask;
 use super::variation::{scaled_requests, without_step};
@@ -14,27 +14,27 @@
 };
 use std::collections::BTreeSet;
 
-/// How much each variation is explored.
+/// Limits of the exploration of each variation.
 const BUDGET: Budget = Budget {
     max_runs: 60,
     max_events: 60_000,
     max_depth: 8,
     seed: 1,
 };
-/// The most steps that are left out, one a variation.
+/// Maximum number of steps to omit, one per variation.
 const MAX_OMITTED_STEPS: usize = 6;
 /// Factors for the number of requests.
 const REQUEST_FACTORS: [f64; 2] = [4.0, 0.4];
-/// Factors for settings that the expectation's formulas name.
+/// Factors for the settings that the expectation's formulas name.
 const SETTING_FACTORS: [f64; 2] = [0.5, 2.0];
-/// Factors for the quota of the plans that its requests use.
+/// Factors for the quotas of the plans that the expectation's requests use.
 const QUOTA_FACTORS: [f64; 2] = [0.25, 16.0];
 /// The keys of a plan's quota.
 const QUOTA_KEYS: [&str; 2] = ["refill", "peakUnits"];
-/// A value that differs by less than this share has not changed.
+/// Relative difference up to which a value counts as unchanged.
 const RELATIVE_TOLERANCE: f64 = 0.02;
 
-/// Notes on the requirements that hold under every variation of the expectation.
+/// Returns a note for each requirement that holds under every variation of the expectation.
 pub(super) fn vacuous_requirements(
     task: &CheckTask,
     compiled: &CompiledExpectation,
@@ -64,7 +64,7 @@
         .collect()
 }
 
-/// Whether a variation makes a difference to a requirement.
+/// Returns whether a variation affects a requirement: it fails, is not exercised or has another value.
 fn is_affected(index: usize, original: RequirementCoverage, varied: &Exploration) -> bool {
     // A violated invariant is no evidence about the requirement.
     let has_failed = varied
@@ -72,14 +72,15 @@
         .as_ref()
         .is_some_and(|failure| failure.requirement == Some(index));
     let coverage = varied.coverage.get(index).copied().unwrap_or_default();
-    // The value of a `never` requirement is 0 while it holds, so that it does not differ.
+    // The value of a `never` requirement is 0 while it holds, so it does not differ.
     let difference = (coverage.largest_value - original.largest_value).abs();
     has_failed
         || coverage.exercised == 0
         || difference > RELATIVE_TOLERANCE * original.largest_value.abs()
 }
 
-/// Variations of the expectation: fewer events, more and fewer requests, other outcomes, environments and settings.
+/// Returns variations of the expectation: fewer events, more and fewer requests, other outcomes, environments and
+/// settings.
 fn variations(task: &CheckTask, compiled: &CompiledExpectation) -> Vec<CompiledExpectation> {
     let is_request = |step: &Step| matches!(step.event, ScenarioEvent::Request(_));
     let steps = compiled.scenario.steps.iter().enumerate();
@@ -121,7 +122,7 @@
         .collect()
 }
 
-/// Scenarios whose environment differs: hosts, counter, retries, deduplication and zones.
+/// Returns variations of the environment: hosts, counter, retries, deduplication and zones.
 fn other_environments(compiled: &CompiledExpectation) -> Vec<CompiledExpectation> {
     let each_host = |change: fn(&mut HostSetup)| {
         varied(compiled, |scenario| {
@@ -158,7 +159,7 @@
     ]
 }
 
-/// The expectation under other values of the settings that it names or depends on.
+/// Returns the expectation compiled for other values of the settings that it names and of the quotas that it uses.
 fn other_settings(task: &CheckTask, compiled: &CompiledExpectation) -> Vec<CompiledExpectation> {
     let deployment = &task.deployment;
     let mut changes: Vec<Vec<Change>> = Vec::new();
@@ -192,7 +193,7 @@
         .collect()
 }
 
-/// A key with its value multiplied; `None` where it is not set. Whole numbers stay whole.
+/// Returns the change that multiplies a key's value, or `None` if the key is not set. Whole numbers stay whole.
 fn scaled(deployment: &Deployment, key: &str, factor: f64) -> Option<Change> {
     let present = numeric_value(deployment.tree.at(key)?);
     let scaled = present * factor;
--- a/crates/expectations/src/check/variation.rs
+++ b/crates/expectations/src/check/variation.rs
@@ -4,19 +4,19 @@
 use quartzcleat_decision::api::Nanos;
 use quartzcleat_simulation::scenario::{ClientRequest, ScenarioEvent, Step};
 
-/// The operations of added requests are numbered from here, above those of any expectation.
+/// Number of the first operation of added requests, above those of any expectation.
 const FIRST_ADDED_OPERATION: u64 = 1_000_001;
-/// The interval between a request and those that are added to it.
+/// Interval between a request and those added to it, in nanoseconds (1 ms).
 const ADDED_REQUEST_INTERVAL: Nanos = 1_000_000;
 
-/// The expectation without one of its steps.
+/// Returns the expectation without one of its steps.
 pub(super) fn without_step(compiled: &CompiledExpectation, index: usize) -> CompiledExpectation {
     let mut compiled = compiled.clone();
     compiled.scenario.steps.remove(index);
     compiled
 }
 
-/// The expectation with so many times the requests.
+/// Returns the expectation with `factor` times the requests.
 pub(super) fn scaled_requests(compiled: &CompiledExpectation, factor: f64) -> CompiledExpectation {
     let mut compiled = compiled.clone();
     let steps = &mut compiled.scenario.steps;
@@ -28,7 +28,8 @@
     compiled
 }
 
-/// Adds to each request further ones of other operations, a little later, so that there are this many of each.
+/// Adds requests of other operations after each request, [`ADDED_REQUEST_INTERVAL`] apart, so that there are `multiple`
+/// of each.
 fn add_requests(steps: &mut Vec<Step>, multiple: u64) {
     let mut operation = FIRST_ADDED_OPERATION;
     let mut added = Vec::new();
@@ -54,7 +55,7 @@
     steps.sort_by_key(|step| step.moments.first().copied().unwrap_or(0));
 }
 
-/// Keeps only this share of the requests, evenly distributed.
+/// Keeps only this share of the requests, spread evenly.
 fn thin_out_requests(steps: &mut Vec<Step>, share: f64) {
     let mut seen = 0.0;
     let mut retained = 0.0;
--- a/crates/expectations/src/evaluation.rs
+++ b/crates/expectations/src/evaluation.rs
@@ -1,7 +1,7 @@
-//! Evaluates the requirements of an expectation on the records of one run.
+//! Evaluation of an expectation's requirements on the records of one run.
 //!
-//! An [`Evaluation`] also states how often the run exercised the requirement and its value, so that a
-//! requirement that no run exercised does not count as one that holds.
+//! An [`Evaluation`] also has the number of times that the run exercised the requirement, so that a requirement that
+//! no run exercised does not count as one that holds.
 
 mod bounds;
 mod events;
@@ -15,48 +15,49 @@
 use quartzcleat_decision::api::{Nanos, RequestId};
 use quartzcleat_invariants::{check, Answer, InvariantLimits, Processes, Record};
 
-/// How a run violates a requirement or an invariant.
+/// A violation of a requirement or an invariant by a run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
-    /// When.
+    /// The time of the violation, on the clock of the run's records.
     pub at: Nanos,
-    /// The request, where one is concerned.
+    /// The request that it concerns; `None` where there is no single one.
     pub request: Option<RequestId>,
-    /// What happened.
+    /// The event or value that violates it, as shown in reports.
     pub description: String,
 }
 
-/// The result of a run for one requirement.
+/// The result of one run for one requirement.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Evaluation {
-    /// The first violation, where there is one.
+    /// The violation that is reported; `None` if the requirement holds.
     pub violation: Option<Violation>,
-    /// How often the run exercised the requirement.
+    /// The number of times that the run exercised the requirement.
     pub exercised: u64,
-    /// Its value: the largest, or the number of events.
+    /// The largest value measured, the sum or share, or the number of requests that violate the requirement.
     pub value: f64,
 }
 
 /// The first violation of a run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RunFailure {
-    /// The index of the requirement; `None` for an invariant.
+    /// The index of the requirement in the compiled expectation; `None` for an invariant.
     pub requirement: Option<usize>,
-    /// The violation.
+    /// The violation that makes the run fail.
     pub violation: Violation,
 }
 
-/// How a run fares by all requirements and invariants.
+/// The result of one run for all requirements and invariants.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Judgement {
-    /// One evaluation for each requirement.
+    /// One evaluation for each requirement, in the order of the compiled expectation.
     pub evaluations: Vec<Evaluation>,
-    /// The first violation in time, where there is one.
+    /// The first violation in time, requirements before invariants; `None` if the run holds.
     pub failure: Option<RunFailure>,
 }
 
-/// Judges a complete run by all requirements and invariants. `time_tolerance` is the time within which the order of
-/// what happens is not known: zero in the simulation.
+/// Judges a complete run by all requirements and invariants.
+///
+/// `time_tolerance` is the time, in nanoseconds, within which the order of events is unknown: zero in the simulation.
 #[must_use]
 pub fn judge(
     compiled: &CompiledExpectation,
@@ -82,8 +83,10 @@
     }
 }
 
-/// Judges a run that was stopped early. An earlier run went through the same state and was judged on all that follows, so
-/// that a stopped run has no failure of its own.
+/// Judges a run that was stopped at a visited state.
+///
+/// It never reports a failure, because an earlier run went through the same state and was judged on everything that
+/// follows.
 pub(crate) fn judge_stopped(compiled: &CompiledExpectation, records: &[Record]) -> Judgement {
     Judgement {
         evaluations: evaluate_all(compiled, records, 0),
@@ -133,7 +136,7 @@
     })
 }
 
-/// A value of one request.
+/// A value measured for one request.
 struct RequestValue<'a> {
     request: &'a RequestHistory,
     value: f64,
@@ -182,7 +185,7 @@
                 value: retry_after as f64,
             })
         });
-        // On sockets a limiter states whole milliseconds.
+        // On sockets a limiter states `retry_after` in whole milliseconds.
         let tolerance = self.time_tolerance as f64;
         let bounds = Bounds {
             at_least: bounds.at_least.map(|bound| bound - tolerance),
@@ -198,7 +201,9 @@
     }
 }
 
-/// Evaluates a value that each of some requests has.
+/// Evaluates the bounds for each of the values.
+///
+/// The result has the largest value and the first violation in the order of `values`.
 fn evaluate_each<'a>(
     values: impl Iterator<Item = RequestValue<'a>>,
     bounds: Bounds,
--- a/crates/expectations/src/evaluation/bounds.rs
+++ b/crates/expectations/src/evaluation/bounds.rs
@@ -1,11 +1,11 @@
-//! Bounds of values, and how a violation of them reads.
+//! The check of a value against its bounds, and the description of a violation.
 
 use crate::requirement::Bounds;
 use quartzcleat_config::quantity::show_time;
 
-/// Sums of units are exact to seven digits at the counter, not more.
+/// Relative tolerance of a bound: sums of units at the counter are exact to seven digits only.
 const RELATIVE_TOLERANCE: f64 = 1e-6;
-/// Numbers are shown to four decimal places.
+/// Numbers are rounded to four decimal places for display.
 const SHOWN_FRACTION: f64 = 1e4;
 
 /// The quantity that a value measures.
@@ -27,7 +27,7 @@
 }
 
 impl Bounds {
-    /// How a value violates the bounds, where it does.
+    /// Describes how a value violates the bounds, or returns `None` if it lies within them.
     pub(super) fn describe_violation(&self, value: f64, unit: Unit) -> Option<String> {
         let tolerance = RELATIVE_TOLERANCE * value.abs().max(1.0);
         let (relation, bound) = match (self.at_least, self.at_most) {
--- a/crates/expectations/src/evaluation/events.rs
+++ b/crates/expectations/src/evaluation/events.rs
@@ -1,4 +1,4 @@
-//! Events that must never or always happen to requests.
+//! Evaluation of events that must never or always happen to requests.
 
 use super::{describe_answer, Evaluation, Evaluator, Violation};
 use crate::history::{AnsweredAt, RequestHistory, SentAttempt};
@@ -7,19 +7,19 @@
 use quartzcleat_invariants::Answer;
 use std::collections::BTreeSet;
 
-/// An event that happened.
+/// The time and description of an event that happened to a request.
 struct Occurrence {
     at: Nanos,
     description: String,
 }
 
-/// How often an event could have happened to a request, and how it did first.
+/// The number of times that an event could have happened to a request, and its first occurrence, if any.
 struct Opportunities {
     count: u64,
     first: Option<Occurrence>,
 }
 
-/// Whether an event happened to a request that must always have it, and the description of the opposite.
+/// Whether a required event happened to a request, and the description used if it did not.
 struct Expected {
     holds: bool,
     opposite: &'static str,
@@ -63,7 +63,7 @@
         evaluation
     }
 
-    /// How often an event could have happened to a request, and when and how it did first.
+    /// Counts how often an event could have happened to a request, and finds its first occurrence.
     fn find_event(&self, request: &RequestHistory, event: &RequestEvent) -> Opportunities {
         match event {
             RequestEvent::ReachesUnavailableHost { state, grace } => {
@@ -162,7 +162,7 @@
     }
 }
 
-/// Counts a request that violates a requirement; the first one is reported.
+/// Counts a request that violates a requirement, and keeps the first one for the report.
 fn record_violation(evaluation: &mut Evaluation, request: &RequestHistory, occurrence: Occurrence) {
     evaluation.value += 1.0;
     evaluation.violation.get_or_insert(Violation {
@@ -172,7 +172,7 @@
     });
 }
 
-/// How many attempts of a request match.
+/// Counts the attempts of a request that match.
 fn count(request: &RequestHistory, matches: impl Fn(&SentAttempt) -> bool) -> u64 {
     request
         .attempts
@@ -181,7 +181,7 @@
         .count() as u64
 }
 
-/// Whether the answer of a request matches.
+/// Finds an answer that matches. Each answered request is one opportunity.
 fn find_answer(request: &RequestHistory, matches: impl Fn(Answer) -> bool) -> Opportunities {
     let occurrence = |AnsweredAt { answer, at }| {
         matches(answer).then(|| Occurrence {
@@ -195,7 +195,7 @@
     }
 }
 
-/// Whether an event happened to an answered request.
+/// Returns whether an event happened to an answered request, with the description of its opposite.
 fn expect_event(request: &RequestHistory, answer: Answer, event: &RequestEvent) -> Expected {
     let holds_for_attempts =
         |matches: fn(&SentAttempt) -> bool| request.attempts.iter().all(matches);
--- a/crates/expectations/src/evaluation/metrics.rs
+++ b/crates/expectations/src/evaluation/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics over requests, and whether they lie within bounds.
+//! Evaluation of metrics over requests against their bounds.
 
 use super::bounds::Unit;
 use super::{evaluate_each, Evaluation, Evaluator, RequestValue, Violation};
@@ -8,7 +8,7 @@
 use quartzcleat_invariants::Answer;
 use std::collections::BTreeMap;
 
-/// The contribution of a request to a sum, and its upper bound.
+/// The contribution of a request to a sum, and the largest contribution that it could have made.
 #[derive(Clone, Copy)]
 struct Contribution {
     amount: f64,
@@ -30,7 +30,7 @@
     request: RequestId,
 }
 
-/// A change of the number of attempts in flight.
+/// A change by +1 or -1 of the number of attempts in flight.
 struct InFlightChange<'a> {
     at: Nanos,
     change: i32,
@@ -69,7 +69,7 @@
             request,
             value: request.attempts.len() as f64,
         });
-        // Only where an attempt failed was there a choice to make another.
+        // Another attempt is possible only after one has failed.
         let exercised = self
             .history
             .requests(filter)
@@ -126,7 +126,7 @@
                 value: f64::from(in_flight),
             }
         });
-        // Where no more requests came than may be in flight at once, nothing was held back.
+        // The bound is exercised only if there were more requests than it allows in flight.
         let requests = self.history.requests(filter).count() as f64;
         let is_exercised = bounds.at_most.is_none_or(|at_most| requests > at_most);
         Evaluation {
@@ -144,8 +144,8 @@
         } else {
             total.amount
         };
-        // An upper bound that could not have been passed was not exercised.
-        let can_pass_bound = is_share
+        // An upper bound that the run could not have exceeded was not exercised.
+        let can_exceed_bound = is_share
             || bounds
                 .at_most
                 .is_none_or(|at_most| total.possible > at_most);
@@ -158,7 +158,7 @@
             });
         Evaluation {
             violation,
-            exercised: u64::from(has_any && can_pass_bound),
+            exercised: u64::from(has_any && can_exceed_bound),
             value,
         }
     }
@@ -182,7 +182,7 @@
         total
     }
 
-    /// The metric's name in descriptions.
+    /// Returns the metric's name in violation descriptions; empty for a metric that is not a sum.
     fn label(&self, metric: Metric) -> String {
         let label = match metric {
             Metric::ForwardedUnits => "units forwarded:",
@@ -201,7 +201,7 @@
     }
 }
 
-/// The contribution of a request to a metric that is a sum.
+/// Returns the contribution of a request to a metric that is a sum; zero for any other metric.
 fn contribution(request: &RequestHistory, metric: Metric) -> Contribution {
     let one_if = |holds: bool| Contribution {
         amount: f64::from(u8::from(holds)),
--- a/crates/expectations/src/explore.rs
+++ b/crates/expectations/src/explore.rs
@@ -1,5 +1,7 @@
-//! The search through the choices that an expectation leaves open: exhaustive to a depth, visiting equal states once, deeper as
-//! long as the budget lasts; then seeded random walks for the rest of it.
+//! Search through the choices that an expectation leaves open.
+//!
+//! The search is exhaustive to a depth, visits equal states once, and is repeated with a greater depth while its share
+//! of the budget lasts. Seeded random walks use the rest of the budget.
 
 mod oracles;
 mod shorten;
@@ -13,19 +15,19 @@
 use shorten::shorten;
 use std::collections::HashMap;
 
-/// The share of the budget for the exhaustive search; the rest is for random walks.
+/// Share of the budget for the exhaustive search; the rest is for random walks.
 const SEARCH_SHARE: f64 = 0.6;
-/// The depth of the first exhaustive search, and the step to the next one.
+/// Depth, in choices, of the first exhaustive search, and its increment for each further one.
 const DEPTH_STEP: usize = 4;
 
-/// How much is explored.
+/// Limits of an exploration.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Budget {
-    /// The most runs.
+    /// Maximum number of runs.
     pub max_runs: u64,
-    /// The most events over all runs: long scenarios get fewer runs.
+    /// Maximum number of events over all runs, so that long scenarios get fewer runs.
     pub max_events: u64,
-    /// The most choices to which all ways are tried.
+    /// Maximum depth of the exhaustive search, in choices from the start of a run.
     pub max_depth: usize,
     /// The seed of the random walks.
     pub seed: u64,
@@ -45,56 +47,57 @@
 /// A failing run and the choices that lead to it.
 #[derive(Clone, Debug)]
 pub struct Failure {
-    /// The choices, as short as was found.
+    /// The choices, as the index of the option taken at each; the shortest path found.
     pub path: Vec<usize>,
-    /// How many choices the run had that was first found to fail.
+    /// The number of choices in the failing run before its path was shortened.
     pub choices: usize,
-    /// The index of the requirement that fails; `None` for an invariant.
+    /// The index of the violated requirement; `None` for an invariant.
     pub requirement: Option<usize>,
-    /// What happened.
+    /// The violation that makes the run fail.
     pub violation: Violation,
-    /// The records of the run.
+    /// The records of the run along the path.
     pub records: Vec<Record>,
 }
 
-/// How all runs together exercised a requirement.
+/// The coverage of a requirement by all runs together.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RequirementCoverage {
-    /// How often the complete runs exercised it.
+    /// The number of times that complete runs exercised it.
     pub exercised: u64,
-    /// The largest value that it came to.
+    /// The largest value that any run, complete or stopped, measured for it.
     pub largest_value: f64,
 }
 
 /// The result of the search.
 #[derive(Clone, Debug, Default)]
 pub struct Exploration {
-    /// Runs.
+    /// Number of runs, complete or stopped.
     pub runs: u64,
-    /// Events in them.
+    /// Number of simulated events in all runs.
     pub events: u64,
-    /// Distinct states at choices.
+    /// Number of distinct states visited by the largest of the exhaustive searches.
     pub states: u64,
-    /// Runs that were stopped because their state had been visited.
+    /// Number of runs that were stopped at a state that had been visited already.
     pub stopped_runs: u64,
-    /// Random walks among the runs.
+    /// Number of random walks among the runs.
     pub random_walks: u64,
-    /// The number of choices to which all ways were tried.
+    /// Number of choices from the start of a run to which the search was exhaustive.
     pub depth: usize,
-    /// Whether all ways were tried to the end.
+    /// Whether the search covered every path of choices to its end.
     pub is_exhaustive: bool,
-    /// How each requirement was exercised.
+    /// The coverage of each requirement, in the order of the compiled expectation.
     pub coverage: Vec<RequirementCoverage>,
-    /// The first failure, shortened.
+    /// The first failure, with its path shortened; `None` if every run holds.
     pub failure: Option<Failure>,
 }
 
-/// How an exhaustive search to a depth ended.
+/// The end of an exhaustive search to a depth.
 enum SearchEnd {
     Failed,
     BudgetSpent,
-    /// The search was exhaustive to its depth. The longest run had so many choices.
+    /// The search was exhaustive to its depth.
     Exhausted {
+        /// Number of choices in the longest run.
         longest: usize,
     },
 }
@@ -122,13 +125,13 @@
 }
 
 impl Explorer<'_> {
-    /// Whether this share of the budget is spent.
+    /// Returns whether this share of the budget is spent.
     fn is_spent(&self, share: f64) -> bool {
         self.exploration.runs as f64 >= self.budget.max_runs as f64 * share
             || self.exploration.events as f64 >= self.budget.max_events as f64 * share
     }
 
-    /// Searches exhaustively, deeper and deeper.
+    /// Searches exhaustively with increasing depth.
     fn search(&mut self) {
         let max_depth = self.budget.max_depth;
         let mut depth = DEPTH_STEP.min(max_depth);
@@ -148,7 +151,7 @@
         }
     }
 
-    /// Searches exhaustively to a depth.
+    /// Searches exhaustively to one depth.
     fn search_to(&mut self, depth: usize) -> SearchEnd {
         let mut prefix = Vec::new();
         let mut visited = HashMap::new();
@@ -175,7 +178,7 @@
         end
     }
 
-    /// Walks at random for the rest of the budget.
+    /// Makes random walks until one fails or the budget is spent.
     fn walk_randomly(&mut self) {
         let mut number = 0;
         while !self.is_spent(1.0) {
@@ -189,7 +192,7 @@
         }
     }
 
-    /// Adds a run to the exploration.
+    /// Adds a run to the exploration's counts and coverage. A failure is shortened and kept.
     fn record_run(&mut self, explored: ExploredRun, choices: Vec<usize>) -> RunOutcome {
         self.exploration.runs += 1;
         self.exploration.events += explored.run.events;
@@ -224,7 +227,7 @@
 }
 
 impl ExploredRun {
-    /// The failure, where the run failed.
+    /// Returns the failure, or `None` if the run holds.
     fn into_failure(self, path: Vec<usize>) -> Option<Failure> {
         let failure = self.judgement.failure?;
         Some(Failure {
@@ -248,16 +251,16 @@
     ExploredRun { run, judgement }
 }
 
-/// The run of one path of choices.
+/// The result of a run along one path of choices.
 #[derive(Clone, Debug)]
 pub enum Replay {
-    /// It fails.
+    /// The run fails.
     Failed(Failure),
-    /// It holds, with these records.
+    /// The run holds and has these records.
     Held(Vec<Record>),
 }
 
-/// Runs one path of choices.
+/// Runs a compiled expectation along one path of choices. Choices beyond its end take their first option.
 #[must_use]
 pub fn replay(compiled: &CompiledExpectation, path: &[usize]) -> Replay {
     let explored = run(compiled, &mut ChoicePath::new(path.to_vec()));
--- a/crates/expectations/src/explore/oracles.rs
+++ b/crates/expectations/src/explore/oracles.rs
@@ -1,15 +1,15 @@
-//! The oracles of the search.
+//! Oracles that take the choices of a run: systematic search and random walk.
 
 use quartzcleat_simulation::{ChoicePoint, Oracle};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::HashMap;
 
-/// Spreads the kind of a choice over the bits of a state's fingerprint.
+/// Multiplier that spreads the kind of a choice over the bits of a state's fingerprint.
 const CHOICE_POINT_FACTOR: u64 = 0x9e37_79b9_7f4a_7c15;
-/// Spreads seeds, so that walks of neighbouring seeds have different ones.
+/// Multiplier of seeds, so that the walks of adjacent seeds do not share generator seeds.
 const SEED_FACTOR: u64 = 1_000_003;
-/// The probability of the first option in a random walk, beside its part of the rest.
+/// Probability of taking the first option outright; otherwise all options, the first included, are equally likely.
 const FIRST_OPTION_PROBABILITY: f64 = 0.5;
 
 /// A choice and the number of options that it had.
@@ -19,13 +19,14 @@
     options: usize,
 }
 
-/// Follows a prefix of choices, then takes first options. Within the depth it stops at a state that was visited with
-/// at least as many choices left.
+/// An oracle that follows a prefix of choices, then takes first options.
+///
+/// Within the depth it stops the run at a state that was visited with at least as many choices left to the depth.
 pub(super) struct SystematicSearch<'a> {
     prefix: &'a [usize],
     taken: Vec<TakenChoice>,
     depth: usize,
-    /// The most choices that were left at each visited state.
+    /// The largest number of choices left to the depth at each visited state, by fingerprint.
     visited: &'a mut HashMap<u64, usize>,
 }
 
@@ -43,12 +44,13 @@
         }
     }
 
-    /// The choices of the run.
+    /// Returns the choices that the run took.
     pub(super) fn choices(&self) -> Vec<usize> {
         self.taken.iter().map(|taken| taken.choice).collect()
     }
 
-    /// The prefix of the next way: the last choice within the depth that has another option takes it.
+    /// Returns the prefix of the next path, or `None` if no path is left: the last choice within the depth that has an
+    /// untried option takes it.
     pub(super) fn next_prefix(&self) -> Option<Vec<usize>> {
         let last = self
             .taken
@@ -61,7 +63,7 @@
         Some(prefix)
     }
 
-    /// Marks a state as visited with so many choices left. Returns whether it was visited before with as many.
+    /// Marks a state as visited with `left` choices left. Returns whether it was visited before with at least as many.
     fn is_visited(&mut self, state: u64, left: usize) -> bool {
         if self.visited.get(&state).is_some_and(|known| *known >= left) {
             return true;
@@ -82,7 +84,7 @@
         let choice = if let Some(choice) = self.prefix.get(position) {
             *choice
         } else {
-            // The kind of choice belongs to the state: two of them may follow at one moment.
+            // The kind of choice is part of the state, because choices of two kinds may follow at the same time.
             let state = || fingerprint() ^ (point as u64).wrapping_mul(CHOICE_POINT_FACTOR);
             if position < self.depth && self.is_visited(state(), self.depth - position) {
                 return None;
@@ -94,14 +96,15 @@
     }
 }
 
-/// Chooses at random. The first option is the likeliest: most of what can fail does not, on most days.
+/// An oracle that chooses at random. The first option is the most likely, because it is the normal outcome and faults
+/// are rare.
 pub(super) struct RandomWalk {
     generator: Pcg64Mcg,
     choices: Vec<usize>,
 }
 
 impl RandomWalk {
-    /// The walk of this number for a seed.
+    /// Returns the walk with this number for a seed.
     pub(super) fn new(seed: u64, number: u64) -> Self {
         let seed = seed.wrapping_mul(SEED_FACTOR).wrapping_add(number);
         RandomWalk {
--- a/crates/expectations/src/explore/shorten.rs
+++ b/crates/expectations/src/explore/shorten.rs
@@ -1,13 +1,14 @@
-//! Makes the path of a failure as short and plain as possible.
+//! Reduction of a failure's path to few choices other than the first option.
 
 use super::{replay, Failure, Replay};
 use crate::compile::CompiledExpectation;
 
-/// The most runs that are spent on it.
+/// Maximum number of runs spent on one failure.
 const MAX_RUNS: u32 = 400;
 
-/// Sets choices back to their first option where the same requirement still fails. Begins with large groups of
-/// choices, for speed.
+/// Resets choices to their first option where the same requirement still fails.
+///
+/// It starts with the whole path and halves the size of the groups, so that it needs few runs.
 pub(super) fn shorten(compiled: &CompiledExpectation, failure: Failure) -> Failure {
     let choices = failure.choices;
     let requirement = failure.requirement;
@@ -19,15 +20,15 @@
     while size >= 1 && runs_left > 0 {
         let mut start = 0;
         while start < path.len() && runs_left > 0 {
-            let Some(plainer) = with_first_options(&path, start, size) else {
+            let Some(simpler) = with_first_options(&path, start, size) else {
                 start += size;
                 continue;
             };
             runs_left -= 1;
-            match replay(compiled, &plainer) {
-                Replay::Failed(again) if again.requirement == requirement => {
-                    path = plainer;
-                    shortest = again;
+            match replay(compiled, &simpler) {
+                Replay::Failed(reproduced) if reproduced.requirement == requirement => {
+                    path = simpler;
+                    shortest = reproduced;
                 }
                 Replay::Failed(_) | Replay::Held(_) => start += size,
             }
@@ -41,19 +42,19 @@
     }
 }
 
-/// The path with a group of choices at their first option; `None` where they are already.
+/// Returns the path with a group of choices reset to their first option, or `None` if all of them already are.
 fn with_first_options(path: &[usize], start: usize, size: usize) -> Option<Vec<usize>> {
     let end = (start + size).min(path.len());
     if path[start..end].iter().all(|choice| *choice == 0) {
         return None;
     }
-    let mut plainer = path.to_vec();
-    plainer[start..end].fill(0);
-    trim(&mut plainer);
-    Some(plainer)
+    let mut simpler = path.to_vec();
+    simpler[start..end].fill(0);
+    trim(&mut simpler);
+    Some(simpler)
 }
 
-/// Takes off first options at the end, which are taken without a path.
+/// Removes first options from the end: a run takes them by default.
 fn trim(path: &mut Vec<usize>) {
     while path.last() == Some(&0) {
         path.pop();
--- a/crates/expectations/src/report.rs
+++ b/crates/expectations/src/report.rs
@@ -1,4 +1,4 @@
-//! Reports of a check: for people, as JSON, or as `JUnit` XML for build servers.
+//! Reports of a check: as text for the terminal, as JSON, and as `JUnit` XML for build servers.
 
 mod human;
 mod junit;
@@ -9,7 +9,7 @@
 use crate::attribution::SourceAttribution;
 use crate::check::{CheckReport, Verdict};
 
-/// The report as JSON.
+/// Returns the report as indented JSON with a final newline.
 #[must_use]
 pub fn json(report: &CheckReport) -> String {
     let json = serde_json::to_string_pretty(report);
@@ -26,14 +26,14 @@
     }
 }
 
-/// The lines of an attribution.
+/// Returns one line for each line of configuration in an attribution.
 fn attribution_lines(attribution: &SourceAttribution) -> Vec<String> {
     let mut lines = Vec::new();
     for line_set in &attribution.line_sets {
         for (index, source) in line_set.iter().enumerate() {
-            let joint = if index > 0 { "together with " } else { "" };
+            let conjunction = if index > 0 { "together with " } else { "" };
             lines.push(format!(
-                "      {joint}{}:{}: {}: {} (the verdict changes with {})",
+                "      {conjunction}{}:{}: {}: {} (the verdict changes with {})",
                 source.file, source.line, source.key, source.value, source.alternative
             ));
         }
--- a/crates/expectations/src/report/human.rs
+++ b/crates/expectations/src/report/human.rs
@@ -1,16 +1,18 @@
-//! The report for people.
+//! The text report for the terminal.
 
 use super::{attribution_lines, verdict_text};
 use crate::check::{CheckReport, ExpectationResult, ExplorationCounts, FailureReport, Verdict};
 
-/// The report for people. A verbose one shows each expectation that holds, too.
+/// Returns the text report, which ends in a summary line.
+///
+/// Expectations that hold, with the same verdict under the compared settings, are shown only if `verbose` is set.
 #[must_use]
 pub fn human(report: &CheckReport, verbose: bool) -> String {
     let mut lines = report.faults.clone();
     let mut file = "";
     for result in &report.results {
-        let is_quiet = result.verdict == Verdict::Held && result.difference.is_none();
-        if is_quiet && !verbose {
+        let is_unremarkable = result.verdict == Verdict::Held && result.difference.is_none();
+        if is_unremarkable && !verbose {
             continue;
         }
         if result.file != file {
@@ -75,7 +77,7 @@
     lines
 }
 
-/// A path as the command line takes it.
+/// Formats a path as the `--path` option takes it.
 fn path_text(path: &[usize]) -> String {
     if path.is_empty() {
         return "0".to_owned();
--- a/crates/expectations/src/report/junit.rs
+++ b/crates/expectations/src/report/junit.rs
@@ -1,9 +1,9 @@
-//! `JUnit` XML: a suite for the check, a case for each expectation and deployment.
+//! `JUnit` XML: one suite for the check, one case for each expectation and deployment.
 
 use super::{attribution_lines, verdict_text};
 use crate::check::{CheckReport, ExpectationResult, Verdict};
 
-/// The report as `JUnit` XML.
+/// Returns the report as `JUnit` XML. Each fault of the files is a failing case of its own.
 #[must_use]
 pub fn junit(report: &CheckReport) -> String {
     let faults = report.faults.iter();
@@ -33,7 +33,7 @@
     lines.join("\n") + "\n"
 }
 
-/// One case of a `JUnit` report. It fails where there is a failure message.
+/// Returns one case of a `JUnit` report. The case fails if `failure` is not empty.
 #[must_use]
 pub fn junit_case(name: &str, class: &str, failure: &str) -> String {
     let name = escape(name);
@@ -47,7 +47,7 @@
     )
 }
 
-/// A `JUnit` report of cases.
+/// Returns a `JUnit` report with one suite of the given cases.
 #[must_use]
 pub fn junit_suite(name: &str, cases: &[String]) -> String {
     let failures = cases
--- a/crates/expectations/tests/expectations/folder.rs
+++ b/crates/expectations/tests/expectations/folder.rs
@@ -1,4 +1,4 @@
-//! A folder with a deployment's settings, an installation and a file of expectations.
+//! A temporary folder with a deployment's settings, an installation and an expectation file.
 
 use quartzcleat_expectations::{check, CheckReport, Options};
 use std::path::PathBuf;
@@ -7,7 +7,7 @@
 pub(crate) const SETTINGS: &str = include_str!("../../../../deploy/imlil-main.yaml");
 const INSTALLATION: &str = include_str!("../../../../deploy/expectations/installation.yaml");
 
-/// A temporary folder, removed at the end of the test.
+/// A temporary folder that is removed when dropped.
 pub(crate) struct Folder(PathBuf);
 
 impl Folder {
@@ -19,7 +19,7 @@
             NEXT.fetch_add(1, Ordering::Relaxed)
         );
         let folder = Folder(std::env::temp_dir().join(name));
-        std::fs::create_dir_all(&folder.0).expect("a folder is made");
+        std::fs::create_dir_all(&folder.0).expect("the folder can be created");
         folder.write("day.yaml", SETTINGS);
         folder.write("installation.yaml", INSTALLATION);
         folder
@@ -27,7 +27,7 @@
 
     pub(crate) fn write(&self, name: &str, text: &str) -> PathBuf {
         let path = self.0.join(name);
-        std::fs::write(&path, text).expect("a file is written");
+        std::fs::write(&path, text).expect("the file can be written");
         path
     }
 
@@ -52,7 +52,7 @@
 
 impl Drop for Folder {
     fn drop(&mut self) {
-        // A folder that cannot be removed does not matter to the test.
+        // A folder that cannot be removed does not affect the test.
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
--- a/crates/expectations/tests/expectations/former_names.rs
+++ b/crates/expectations/tests/expectations/former_names.rs
@@ -1,4 +1,4 @@
-//! Former names of keys and keywords are accepted, and mean the same as the present ones.
+//! Former names of keys and keywords are accepted with the meaning of the present ones.
 
 use crate::folder::SETTINGS;
 use quartzcleat_config::{Deployment, Faults};
@@ -6,7 +6,7 @@
 use std::io;
 use std::path::Path;
 
-/// An installation with every key that was renamed.
+/// An installation that uses the present name of every renamed key.
 const INSTALLATION: &str = "
 zones: [room-a, room-b, room-c]
 limiters: {limiter-a: room-a, limiter-b: room-b, limiter-c: room-c}
@@ -28,7 +28,7 @@
     bed-hold: {repeats: deduplicated by the zone, dedup_window: 5s, work: 110ms}
 ";
 
-/// An expectation with every key and keyword that was renamed.
+/// An expectation that uses the present name of every renamed key and keyword.
 const EXPECTATION: &str = "
 settings: day.yaml
 installation: installation.yaml
@@ -64,7 +64,7 @@
       - {answered: classes.bed-hold.latency_objective}
 ";
 
-/// Present texts of the two files, and the former ones.
+/// Texts of the two files with present names, each with its former equivalent.
 const RENAMED: [(&str, &str); 53] = [
     ("\nzones: [", "\nrooms: ["),
     ("\nnetwork: {", "\nnet: {"),
@@ -133,7 +133,7 @@
     ("is rejected without retry_after", "is refused untold"),
 ];
 
-/// What the two files compile to, in its debug form.
+/// Compiles the two files and returns the debug form of the result.
 fn compiled(installation: &str, expectation: &str) -> Result<String, Faults> {
     let mut faults = Faults::default();
     let read_file = |path: &Path| match path.to_str() {
--- a/crates/expectations/tests/expectations/main.rs
+++ b/crates/expectations/tests/expectations/main.rs
@@ -1,4 +1,4 @@
-//! Expectations from their text to their verdicts and reports.
+//! Checks of expectations, from their text to verdicts and reports.
 
 mod folder;
 mod former_names;
@@ -19,6 +19,7 @@
     }
 }
 
+/// An expectation that allows no more attempts than the `sendCap` of [`SETTINGS`].
 const CAP: &str = "
   - name: no request gets more than four attempts
     given: {attempts: [normal, rejected, connection refused]}
@@ -28,24 +29,27 @@
       - {attempts: 4}
 ";
 
-/// Settings that grant more attempts than [`CAP`] allows.
-fn settings_without_cap() -> String {
+/// Returns settings that grant more attempts than [`CAP`] allows.
+fn settings_with_raised_cap() -> String {
     SETTINGS.replace("sendCap: 4", "sendCap: 6")
 }
 
-fn folder_without_cap() -> Folder {
+fn folder_with_raised_cap() -> Folder {
     let folder = Folder::new();
-    folder.write("day.yaml", &settings_without_cap());
+    folder.write("day.yaml", &settings_with_raised_cap());
     folder
 }
 
 fn failure_of(checked: &CheckReport) -> FailureReport {
-    checked.results[0].failure.clone().expect("it is reported")
+    checked.results[0]
+        .failure
+        .clone()
+        .expect("the failure is reported")
 }
 
 #[test]
 fn failure_has_a_description_a_path_and_a_timeline() {
-    let checked = folder_without_cap().check(CAP, |_| {});
+    let checked = folder_with_raised_cap().check(CAP, |_| {});
     assert_eq!(
         (verdicts(&checked), checked.exit_code()),
         (vec![Verdict::Failed], 1),
@@ -75,12 +79,12 @@
 }
 
 #[test]
-fn failure_is_attributed_to_the_line_behind_it() {
-    let checked = folder_without_cap().check(CAP, |_| {});
-    let line = settings_without_cap()
+fn failure_is_attributed_to_the_responsible_line() {
+    let checked = folder_with_raised_cap().check(CAP, |_| {});
+    let line = settings_with_raised_cap()
         .lines()
         .position(|line| line.contains("sendCap"))
-        .expect("it is there") as u32
+        .expect("the settings contain sendCap") as u32
         + 1;
     let attribution = failure_of(&checked).attribution;
     let lines: Vec<_> = attribution
@@ -94,7 +98,7 @@
 
 #[test]
 fn path_of_a_failure_replays_it_and_a_shorter_one_does_not() {
-    let folder = folder_without_cap();
+    let folder = folder_with_raised_cap();
     let path = failure_of(&folder.check(CAP, |_| {})).path;
     let again = folder.check(CAP, |options| options.replay = Some(path.clone()));
     assert_eq!(verdicts(&again), [Verdict::Failed]);
@@ -107,7 +111,7 @@
 fn verdict_is_attributed_to_the_smallest_set_of_changed_lines() {
     let folder = Folder::new();
     let old = folder.write("old.yaml", SETTINGS);
-    // Three changes, of which one breaks the expectation.
+    // Only the first of these three changes breaks the expectation.
     let new = SETTINGS
         .replace("sendCap: 4", "sendCap: 7")
         .replace("refill: 19", "refill: 21")
@@ -180,7 +184,7 @@
 #[test]
 fn violated_invariant_leaves_a_requirement_vacuous() {
     let folder = Folder::new();
-    // Without the cap on attempts an invariant is violated, not the requirement.
+    // A variation that raises the cap on attempts violates an invariant, not the requirement.
     let checked = folder.check(
         "
   - name: a bed-check that no node takes never fails
@@ -267,7 +271,7 @@
 }
 
 #[test]
-fn absolute_bound_fails_at_the_far_end_of_a_range() {
+fn absolute_bound_fails_at_the_upper_end_of_a_range() {
     let fixed = BURST.replace("plans.guide.burst * 1.5 + 6", "15");
     let checked = Folder::new().check(&fixed, |options| {
         options
@@ -277,7 +281,7 @@
     assert_eq!(
         verdicts(&checked),
         [Verdict::Held, Verdict::Failed],
-        "an absolute figure breaks at the far end"
+        "an absolute bound fails at the upper end of the range"
     );
 }
 
@@ -294,7 +298,8 @@
     let folder = Folder::new();
     folder.write("day.yaml", &SETTINGS.replace("sendCap: 4", "sendCap: 6"));
     let checked = folder.check(CAP, |options| options.attribute_sources = false);
-    let json: serde_json::Value = serde_json::from_str(&report::json(&checked)).expect("JSON");
+    let json: serde_json::Value =
+        serde_json::from_str(&report::json(&checked)).expect("the report is valid JSON");
     assert_eq!(json["results"][0]["verdict"], "failed");
     let junit = report::junit(&checked);
     assert!(
@@ -305,7 +310,7 @@
     assert!(report::human(&checked, false).contains("1 failed"));
 }
 
-/// The same check twice gives the same counts, however many expectations are explored concurrently.
+/// Two runs of the same check give the same counts, whatever the number of concurrent jobs.
 #[test]
 fn check_is_deterministic() {
     let folder = Folder::new();
@@ -328,7 +333,7 @@
     );
 }
 
-/// Every expectation beside the configurations holds for the settings that it names, in less than a minute.
+/// Every shipped expectation holds for the settings that its file names, in less than 60 s per deployment.
 #[test]
 fn expectations_of_both_deployments_hold() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/expectations");
@@ -337,7 +342,7 @@
         max_events: 100_000,
         ..Default::default()
     };
-    for (deployment, least) in [("imlil-main", 60), ("reykjavik-auth", 25)] {
+    for (deployment, min_results) in [("imlil-main", 60), ("reykjavik-auth", 25)] {
         let (paths, deployment) = (vec![path.clone()], Some(deployment.to_owned()));
         let checked = check(&Options {
             paths,
@@ -346,7 +351,7 @@
             ..Options::default()
         });
         assert!(
-            checked.results.len() >= least,
+            checked.results.len() >= min_results,
             "{} expectations",
             checked.results.len()
         );
@@ -367,7 +372,7 @@
     assert_eq!(
         checked.exit_code(),
         2,
-        "an unknown deployment is named, not passed over"
+        "an unknown deployment is an error, not an empty check"
     );
     assert!(report::human(&checked, false).contains("known: imlil-main, reykjavik-auth"));
 }
