--- a/crates/expectations/src/check/tasks.rs
+++ b/crates/expectations/src/check/tasks.rs
@@ -115,7 +115,7 @@
         let paths = options.paths.iter();
         let paths: Vec<String> = paths.map(|path| path.display().to_string()).collect();
         let file = paths.join(", ").into();
-        faults.add(&file, Place::default(), "", "no file of expectations");
+        faults.add(&file, Place::default(), "", "no expectation files found");
     }
     let mut suites: Vec<Arc<Suite>> = files
         .iter()
@@ -142,7 +142,7 @@
     if suites.is_empty() {
         let known: Vec<String> = known.into_iter().collect();
         let known = known.join(", ");
-        let problem = format!("no expectations of a deployment {name:?}; known: {known}");
+        let problem = format!("no expectations for deployment {name:?}; known: {known}");
         faults.add(&Arc::from(""), Place::default(), "--deployment", problem);
     }
 }
@@ -196,7 +196,12 @@
             });
         } else {
             let key = format!("given.range.{name}");
-            faults.add(&expectation.file, *place, key, "not a list of numbers");
+            faults.add(
+                &expectation.file,
+                *place,
+                key,
+                "expected a non-empty list of numbers",
+            );
         }
     }
     ranges
@@ -240,7 +245,10 @@
             })
             .collect();
         if combinations.len() > MAX_DEPLOYMENTS {
-            let problem = format!("{} days; {MAX_DEPLOYMENTS} at most", combinations.len());
+            let problem = format!(
+                "{} deployments; {MAX_DEPLOYMENTS} at most",
+                combinations.len()
+            );
             faults.add(&expectation.file, place, "given.range", problem);
             return Err(std::mem::take(faults));
         }
--- a/crates/expectations/src/check/timeline.rs
+++ b/crates/expectations/src/check/timeline.rs
@@ -40,7 +40,7 @@
     let omitted = lines.len() - MAX_LINES;
     let end = lines.split_off(lines.len() - MAX_LINES / 2);
     lines.truncate(MAX_LINES / 2);
-    lines.push(format!("{:>12}  ({omitted} lines left out)", "..."));
+    lines.push(format!("{:>12}  ({omitted} lines omitted)", "..."));
     lines.extend(end);
     lines
 }
--- a/crates/expectations/src/evaluation/events.rs
+++ b/crates/expectations/src/evaluation/events.rs
@@ -230,7 +230,7 @@
         },
         RequestEvent::ReachesUnavailableHost { .. } | RequestEvent::ReachesHostTwice => Expected {
             holds: false,
-            opposite: "not to be required of every request",
+            opposite: "cannot be required of every request",
         },
     }
 }
--- a/crates/expectations/src/report.rs
+++ b/crates/expectations/src/report.rs
@@ -41,7 +41,7 @@
     let configurations = attribution.configurations;
     if attribution.line_sets.is_empty() && configurations > 0 {
         lines.push(format!(
-            "      none found among {configurations} other settings"
+            "      none found in {configurations} alternative configurations"
         ));
     }
     lines
--- a/crates/expectations/src/report/human.rs
+++ b/crates/expectations/src/report/human.rs
@@ -42,12 +42,12 @@
         lines.extend(failure_lines(result, failure));
     }
     if let Some(attribution) = &result.attribution {
-        lines.push("    lines behind it:".to_owned());
+        lines.push("    responsible configuration lines:".to_owned());
         lines.extend(attribution_lines(attribution));
     }
     if let Some(difference) = &result.difference {
         lines.push(format!(
-            "    under the other settings: {}; the changed lines behind it:",
+            "    under the compared settings: {}; responsible changed lines:",
             verdict_text(difference.compared)
         ));
         lines.extend(attribution_lines(&difference.attribution));
@@ -60,7 +60,7 @@
     let mut lines = vec![
         format!("    {file}:{}: {}", failure.line, failure.description),
         format!(
-            "    the shortest run found, from one of {} choices:",
+            "    shortest run found, reduced from {} choices:",
             failure.choices
         ),
     ];
@@ -71,7 +71,7 @@
         path_text(&failure.path)
     ));
     if failure.attribution.configurations > 0 {
-        lines.push("    lines behind it:".to_owned());
+        lines.push("    responsible configuration lines:".to_owned());
         lines.extend(attribution_lines(&failure.attribution));
     }
     lines
