--- a/crates/expectations/src/check/timeline.rs
+++ b/crates/expectations/src/check/timeline.rs
@@ -1,4 +1,4 @@
-//! The timeline of a failure, without entries of no interest.
+//! The timeline of a failure, without the ready hosts learned at the start and cut to a maximum length.
 
 use crate::explore::Failure;
 use quartzcleat_decision::api::HostState;
--- a/crates/expectations/src/evaluation.rs
+++ b/crates/expectations/src/evaluation.rs
@@ -51,7 +51,8 @@
 pub struct Judgement {
     /// One evaluation for each requirement, in the order of the compiled expectation.
     pub evaluations: Vec<Evaluation>,
-    /// The first violation in time, requirements before invariants; `None` if the run holds.
+    /// The first violation in time, at equal times that of a requirement before that of an invariant; `None` if the run
+    /// holds.
     pub failure: Option<RunFailure>,
 }
 
--- a/crates/expectations/tests/expectations/folder.rs
+++ b/crates/expectations/tests/expectations/folder.rs
@@ -20,7 +20,7 @@
         );
         let folder = Folder(std::env::temp_dir().join(name));
         std::fs::create_dir_all(&folder.0).expect("the folder can be created");
-        folder.write("day.yaml", SETTINGS);
+        folder.write("settings.yaml", SETTINGS);
         folder.write("installation.yaml", INSTALLATION);
         folder
     }
@@ -37,7 +37,7 @@
         change: impl FnOnce(&mut Options),
     ) -> CheckReport {
         let text = format!(
-            "settings: day.yaml\ninstallation: installation.yaml\nexpectations:\n{expectations}"
+            "settings: settings.yaml\ninstallation: installation.yaml\nexpectations:\n{expectations}"
         );
         let path = self.write("e.yaml", &text);
         let mut options = Options {
--- a/crates/expectations/tests/expectations/former_names.rs
+++ b/crates/expectations/tests/expectations/former_names.rs
@@ -30,7 +30,7 @@
 
 /// An expectation that uses the present name of every renamed key and keyword.
 const EXPECTATION: &str = "
-settings: day.yaml
+settings: settings.yaml
 installation: installation.yaml
 expectations:
   - name: every key
@@ -143,7 +143,7 @@
     };
     let suite = suite::read_with(Path::new("e.yaml"), &read_file, &mut faults);
     let suite = suite.filter(|_| faults.is_empty()).ok_or(faults)?;
-    let deployment = Deployment::read("day.yaml", SETTINGS)?;
+    let deployment = Deployment::read("settings.yaml", SETTINGS)?;
     let compiled = compile(&suite, &suite.expectations[0], &deployment)?;
     Ok(format!("{compiled:?}"))
 }
--- a/crates/expectations/tests/expectations/main.rs
+++ b/crates/expectations/tests/expectations/main.rs
@@ -36,7 +36,7 @@
 
 fn folder_with_raised_cap() -> Folder {
     let folder = Folder::new();
-    folder.write("day.yaml", &settings_with_raised_cap());
+    folder.write("settings.yaml", &settings_with_raised_cap());
     folder
 }
 
@@ -116,7 +116,7 @@
         .replace("sendCap: 4", "sendCap: 7")
         .replace("refill: 19", "refill: 21")
         .replace("connectTimeoutNs: 250ms", "connectTimeoutNs: 200ms");
-    folder.write("day.yaml", &new);
+    folder.write("settings.yaml", &new);
     let checked = folder.check(CAP, |options| options.compare_with = Some(old));
     let difference = checked.results[0]
         .difference
@@ -143,13 +143,13 @@
       - {at: 0ms, request: bed-hold, from: Azib}
     must:
       - {never: reaches a draining node}
-  - name: a bound that nothing here can pass
+  - name: an upper bound above any possible sum
     when:
       - {at: 0ms, request: bed-hold, from: Azib}
       - {at: 0ms, request: bed-hold, from: Azib}
     must:
       - {units: 2000}
-  - name: a bed-check never fails
+  - name: a bed-check is answered within an hour
     when:
       - {at: 0ms, request: bed-check, from: Azib}
     must:
@@ -187,7 +187,7 @@
     // A variation that raises the cap on attempts violates an invariant, not the requirement.
     let checked = folder.check(
         "
-  - name: a bed-check that no node takes never fails
+  - name: a bed-check whose connections are refused never fails
     given: {attempts: connection refused, nodes: [n1, n2]}
     when:
       - {at: 0ms, request: bed-check, from: Azib}
@@ -208,7 +208,7 @@
       - {at: 0ms, request: bed-hold, from: Azip}
     must:
       - {always: is served}
-  - name: times that cannot be, a class that is not, and nothing demanded
+  - name: invalid times, an unknown class and no condition
     given: {discovery: -3s}
     when:
       - {at: soon, request: bed-hould, from: Azib}
@@ -249,8 +249,9 @@
     }
 }
 
+/// An expectation whose upper bound is a formula of the plan's burst.
 const BURST: &str = "
-  - name: a guide's burst is cut near a window's limit
+  - name: a guide's burst stays near the limit of its window
     when:
       - {at: 0ms, request: bed-hold, from: Tamsoult, count: 80, every: 5ms}
     must:
@@ -296,7 +297,10 @@
 #[test]
 fn reports_agree_in_every_format() {
     let folder = Folder::new();
-    folder.write("day.yaml", &SETTINGS.replace("sendCap: 4", "sendCap: 6"));
+    folder.write(
+        "settings.yaml",
+        &SETTINGS.replace("sendCap: 4", "sendCap: 6"),
+    );
     let checked = folder.check(CAP, |options| options.attribute_sources = false);
     let json: serde_json::Value =
         serde_json::from_str(&report::json(&checked)).expect("the report is valid JSON");
