--- a/crates/expectations/src/report/human.rs
+++ b/crates/expectations/src/report/human.rs
@@ -1,16 +1,18 @@
-//! The report for people.
+//! The text report for the terminal.
 
 use super::{attribution_lines, verdict_text};
 use crate::check::{CheckReport, ExpectationResult, ExplorationCounts, FailureReport, Verdict};
 
-/// The report for people. A verbose one shows each expectation that holds, too.
+/// Returns the text report, which ends in a summary line.
+///
+/// Expectations that hold, with the same verdict under the compared settings, are shown only if `verbose` is set.
 #[must_use]
 pub fn human(report: &CheckReport, verbose: bool) -> String {
     let mut lines = report.faults.clone();
     let mut file = "";
     for result in &report.results {
-        let is_quiet = result.verdict == Verdict::Held && result.difference.is_none();
-        if is_quiet && !verbose {
+        let is_unremarkable = result.verdict == Verdict::Held && result.difference.is_none();
+        if is_unremarkable && !verbose {
             continue;
         }
         if result.file != file {
@@ -40,12 +42,12 @@
         lines.extend(failure_lines(result, failure));
     }
     if let Some(attribution) = &result.attribution {
-        lines.push("    lines behind it:".to_owned());
+        lines.push("    responsible configuration lines:".to_owned());
         lines.extend(attribution_lines(attribution));
     }
     if let Some(difference) = &result.difference {
         lines.push(format!(
-            "    under the other settings: {}; the changed lines behind it:",
+            "    under the compared settings: {}; responsible changed lines:",
             verdict_text(difference.compared)
         ));
         lines.extend(attribution_lines(&difference.attribution));
@@ -58,7 +60,7 @@
     let mut lines = vec![
         format!("    {file}:{}: {}", failure.line, failure.description),
         format!(
-            "    the shortest run found, from one of {} choices:",
+            "    shortest run found, reduced from {} choices:",
             failure.choices
         ),
     ];
@@ -69,13 +71,13 @@
         path_text(&failure.path)
     ));
     if failure.attribution.configurations > 0 {
-        lines.push("    lines behind it:".to_owned());
+        lines.push("    responsible configuration lines:".to_owned());
         lines.extend(attribution_lines(&failure.attribution));
     }
     lines
 }
 
-/// A path as the command line takes it.
+/// Formats a path as the `--path` option takes it.
 fn path_text(path: &[usize]) -> String {
     if path.is_empty() {
         return "0".to_owned();
