--- a/crates/expectations/src/compile.rs
+++ b/crates/expectations/src/compile.rs
@@ -1,5 +1,5 @@
-//! Compiles an expectation for a deployment: names become indices, formulas are evaluated with the settings in
-//! force, and the result is a scenario for the simulation with requirements on its records.
+//! Compiles an expectation for a deployment: resolves names to indices, evaluates formulas with the deployment's
+//! settings, and returns a scenario for the simulation with requirements on its records.
 
 mod aliases;
 mod facts;
@@ -25,41 +25,42 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Unix time at which runs start: the start of a spring day. Windows of quotas are aligned to it.
-const START: Nanos = 1_775_000_000_000_000_000;
-/// The longest run where the expectation states no other end.
+/// The Unix time at which runs start, 2026-03-31T23:33:20Z. Quota windows are aligned to it.
+const RUN_START: Nanos = 1_775_000_000_000_000_000;
+/// The maximum duration of a run if the expectation has no `end`.
 const DEFAULT_MAX_DURATION: Nanos = 30_000_000_000;
-/// The most requests and steps of one expectation. More of them would be a load test.
+/// The maximum number of requests of one step, and of requests and events of one expectation. Larger numbers would make
+/// it a load test.
 pub(crate) const MAX_REQUESTS: usize = 20_000;
 
 /// An expectation, compiled for a deployment.
 #[derive(Clone, Debug)]
 pub struct CompiledExpectation {
-    /// The processes and what happens.
+    /// The processes, their settings and the events that the simulation runs.
     pub scenario: Scenario,
-    /// What must hold.
+    /// The conditions on the records of a run.
     pub requirements: Vec<Requirement>,
-    /// The limits of the invariants, which no setting loosens.
+    /// The limits of the invariants. They come from the facts, so no setting under test loosens what a fact states.
     pub invariant_limits: InvariantLimits,
-    /// The keys of the settings that its formulas name.
+    /// The keys of the settings that occur in formulas of the expectation.
     pub setting_keys: BTreeSet<String>,
 }
 
-/// The names and values that an expectation is compiled with.
+/// The names and values with which an expectation is compiled.
 struct Compiler<'a> {
     deployment: &'a Deployment,
     processes: Processes,
     hosts: Vec<HostSetup>,
     partners: Vec<Partner>,
     setting_keys: BTreeSet<String>,
-    /// The numbers of operations, by their marks.
+    /// Operation numbers by mark. An operation without a mark has a generated one, such as `#3`.
     operations: BTreeMap<String, u64>,
 }
 
 /// Compiles an expectation for a deployment.
 ///
 /// # Errors
-/// All that is wrong with it.
+/// Returns all faults of the expectation and of its installation.
 pub fn compile(
     suite: &Suite,
     expectation: &Expectation,
@@ -92,7 +93,7 @@
     scenario.network = installation.network;
     scenario.work = installation.work;
     compiler.read_given(&mut given, &mut scenario, &mut faults);
-    // Ranges are read before, as each of their values makes a deployment of its own.
+    // Marks `range` as known: the check reads it earlier, as each of its values is a deployment of its own.
     given.node("range");
     given.end(&mut faults);
     compiler.read_steps(expectation, &mut scenario, &mut faults);
@@ -140,7 +141,7 @@
     }
 }
 
-/// A scenario without processes and steps that leaves nothing open.
+/// Returns a scenario without processes and steps, in which every choice has a single option.
 fn default_scenario(deployment: &Deployment) -> Scenario {
     Scenario {
         settings: deployment.settings.clone(),
@@ -148,7 +149,7 @@
         processes: Processes::default(),
         hosts: Vec::new(),
         network: NetworkDelays::default(),
-        start: START,
+        start: RUN_START,
         start_offsets: vec![0],
         seeds: vec![1],
         discovery_delays: vec![0],
@@ -163,7 +164,7 @@
     }
 }
 
-/// The deployment with the settings that the expectation gives other values.
+/// Returns the deployment with the changes that `given.settings` makes. An invalid change leaves it unchanged.
 fn with_given_settings(
     deployment: &Deployment,
     given: &mut Reader<'_>,
--- a/crates/expectations/src/compile/aliases.rs
+++ b/crates/expectations/src/compile/aliases.rs
@@ -1,16 +1,16 @@
-//! Former names of keys and keywords, which files of expectations and installations may still have.
+//! Former names of keys and keywords that files of expectations and installations may still use.
 
 use quartzcleat_config::reader::Alias;
 
 #[cfg(test)]
 mod tests;
 
-/// Keys of an installation's file.
+/// Keys of an installation file.
 pub(super) const INSTALLATION_KEYS: &[Alias] =
     &[Alias::new("rooms", "zones"), Alias::new("net", "network")];
 /// Keys of the section `given` of an expectation.
 pub(super) const GIVEN_KEYS: &[Alias] = &[Alias::new("net", "network")];
-/// Keys of the network's delays.
+/// Keys of the network delays.
 pub(super) const NETWORK_KEYS: &[Alias] = &[
     Alias::new("same", "same_zone"),
     Alias::new("cross", "cross_zone"),
@@ -36,20 +36,20 @@
 ];
 /// Keys of the facts on a class.
 pub(super) const CLASS_FACT_KEYS: &[Alias] = &[Alias::new("window", "dedup_window")];
-/// Keywords for the repeats of a class's requests.
+/// Keywords for how hosts treat repeated requests of a class.
 pub(super) const REPEATS: &[Alias] = &[
     Alias::new("safe", "idempotent"),
     Alias::new("dropped by all", "deduplicated by all"),
     Alias::new("dropped by the room", "deduplicated by the zone"),
     Alias::new("dropped by the cell", "deduplicated by the cell"),
 ];
-/// Keys of the counter.
+/// Keys of the counter in `given`.
 pub(super) const COUNTER_KEYS: &[Alias] = &[
     Alias::new("is", "mode"),
     Alias::new("call", "call_duration"),
     Alias::new("parts", "shards"),
 ];
-/// Keywords for the counter's mode.
+/// Keywords for the mode of the counter.
 pub(super) const COUNTER_MODES: &[Alias] = &[Alias::new("refusing", "rejecting")];
 /// Keywords for the outcome of a call to the counter.
 pub(super) const COUNTER_CALL_OUTCOMES: &[Alias] = &[
@@ -65,7 +65,7 @@
     Alias::new("silent after it ran", "answer lost"),
     Alias::new("silent", "request lost"),
 ];
-/// Keys of the clients' retries.
+/// Keys of the retry policy of clients.
 pub(super) const RETRY_KEYS: &[Alias] = &[Alias::new("elsewhere", "next_limiter")];
 /// Keys of a step.
 pub(super) const STEP_KEYS: &[Alias] = &[
@@ -74,7 +74,7 @@
     Alias::new("cost", "true_units"),
     Alias::new("wait", "timeout"),
 ];
-/// Keywords for what discovery does.
+/// Keywords for whether discovery notifies limiters.
 pub(super) const DISCOVERY_MODES: &[Alias] = &[Alias::new("tells", "notifying")];
 /// Keys of a requirement.
 pub(super) const REQUIREMENT_KEYS: &[Alias] = &[
@@ -86,9 +86,9 @@
     Alias::new("told", "retry_after"),
     Alias::new("tries", "requests"),
 ];
-/// Keywords for the requests that a requirement is about.
+/// Keywords that restrict a requirement to first requests or retries.
 pub(super) const REQUEST_KINDS: &[Alias] = &[Alias::new("further", "retries")];
-/// Events that must never or always happen.
+/// Keywords for the events of `never` and `always`.
 pub(super) const REQUEST_EVENTS: &[Alias] = &[
     Alias::new("reaches a cold node", "reaches a node in slow start"),
     Alias::new("leaves its room", "leaves its zone"),
--- a/crates/expectations/src/compile/aliases/tests.rs
+++ b/crates/expectations/src/compile/aliases/tests.rs
@@ -1,11 +1,11 @@
-//! The pages list every renamed key and keyword.
+//! Tests that the documentation lists every renamed key and keyword.
 
 use super::*;
 
 const CHANGELOG: &str = include_str!("../../../../../CHANGELOG.md");
 const PAGE: &str = include_str!("../../../../../docs/expectations.md");
 
-/// Every table of aliases.
+/// The tables of aliases, except [`REQUEST_EVENTS`].
 const TABLES: [&[Alias]; 17] = [
     INSTALLATION_KEYS,
     GIVEN_KEYS,
--- a/crates/expectations/src/compile/facts.rs
+++ b/crates/expectations/src/compile/facts.rs
@@ -1,7 +1,7 @@
-//! The facts of an installation: the true behaviour of hosts and rules, which no setting changes.
+//! The facts of an installation: the actual behaviour of hosts and the rules that hold whatever the settings say.
 
 use super::aliases;
-use super::installation::{replace, Installation};
+use super::installation::{set_if_some, Installation};
 use super::reading::{index_of_name, members};
 use crate::error::ValueError;
 use quartzcleat_config::reader::{one_of_renamed, text};
@@ -10,7 +10,7 @@
 use quartzcleat_decision::api::{Class, DedupScope, Effect, Nanos, Settings};
 use std::sync::Arc;
 
-/// How the hosts treat repeats of a class's requests.
+/// How hosts treat repeated requests of a class.
 #[derive(Clone, Copy)]
 struct Repeats {
     effect: Effect,
@@ -42,19 +42,19 @@
 }
 
 impl Installation {
-    /// Reads the facts that differ from the deployment's settings.
+    /// Reads facts and applies them to the ground truth, which otherwise equals the deployment's settings.
     pub(super) fn read_facts(&mut self, node: Option<&Node>, file: &Arc<str>, faults: &mut Faults) {
         let Some(node) = node else { return };
         let truth = &mut self.ground_truth;
         let mut map = Reader::new(file, "facts", node, faults).with_aliases(aliases::FACT_KEYS);
-        replace(
+        set_if_some(
             &mut truth.grace.drain,
             map.take("drain_grace", faults, quantity::time),
         );
         let max_attempts = map.take("max_attempts", faults, |node| {
             quantity::count(node, 1..=100)
         });
-        replace(
+        set_if_some(
             &mut truth.attempts.max_per_request,
             max_attempts.map(|count| count as u32),
         );
@@ -93,19 +93,19 @@
 fn read_slow_start(truth: &mut Settings, node: &Node, file: &Arc<str>, faults: &mut Faults) {
     let mut map =
         Reader::new(file, "facts.slow_start", node, faults).with_aliases(aliases::SLOW_START_KEYS);
-    replace(
+    set_if_some(
         &mut truth.slow_start.initial_capacity,
         map.take("initial_capacity", faults, quantity::share),
     );
-    replace(
+    set_if_some(
         &mut truth.slow_start.duration,
         map.take("duration", faults, quantity::time),
     );
-    replace(
+    set_if_some(
         &mut truth.slow_start.overload_duration,
         map.take("overload_duration", faults, quantity::time),
     );
-    replace(
+    set_if_some(
         &mut truth.slow_start.overload_factor,
         map.take("overload_factor", faults, quantity::number),
     );
@@ -117,11 +117,11 @@
         class.effect = repeats.effect;
         class.dedup_scope = repeats.dedup_scope;
     }
-    replace(
+    set_if_some(
         &mut class.dedup_window,
         map.take("dedup_window", faults, quantity::time),
     );
-    replace(work, map.take("work", faults, quantity::time));
+    set_if_some(work, map.take("work", faults, quantity::time));
 }
 
 fn read_repeats(node: &Node) -> Result<Repeats, ValueError> {
--- a/crates/expectations/src/compile/given.rs
+++ b/crates/expectations/src/compile/given.rs
@@ -1,4 +1,4 @@
-//! Partners, the counter, and the choices that an expectation leaves to the search.
+//! Partners, the counter, client retries, and the choices that an expectation leaves to the search.
 
 use super::aliases;
 use super::reading::{index_of, keywords, members};
@@ -43,12 +43,12 @@
     ("slow 5", CounterMode::Slow(5.0)),
 ];
 
-/// The delay before a client's retry where none is given.
+/// The delay before a client's retry if `retry.after` is not given.
 const DEFAULT_RETRY_DELAY: Nanos = 200_000_000;
-/// The largest factor by which the counter can be slowed down.
+/// The maximum factor by which calls of a slow counter are lengthened.
 const MAX_SLOW_FACTOR: f64 = 1e6;
 
-/// A partner: its plan, and the limiters through which its requests come.
+/// A partner: its plan, and the limiters that receive its requests.
 #[derive(Clone, Debug)]
 pub(super) struct Partner {
     pub(super) plan: PlanIndex,
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Reads the counter, the choices that are left to the search, and the clients' retries.
+    /// Reads the counter, the choices that are left to the search, and the clients' retry policy.
     pub(super) fn read_given(
         &mut self,
         given: &mut Reader<'_>,
@@ -152,7 +152,7 @@
     }
 }
 
-/// Whether limiters are consecutive indices, modulo the number of all limiters, and there is one at all.
+/// Whether `limiters` is not empty and holds consecutive indices, modulo the number of all limiters.
 fn are_consecutive(limiters: &[LimiterIndex], limiter_count: usize) -> bool {
     let follows = |pair: &[LimiterIndex]| {
         pair[1].as_usize() == (pair[0].as_usize() + 1) % limiter_count.max(1)
@@ -160,7 +160,7 @@
     !limiters.is_empty() && limiters.windows(2).all(follows)
 }
 
-/// Reads the counter: its mode alone, or a map.
+/// Reads the counter, which is either the keyword of a mode or a map.
 fn read_counter(counter: &mut CounterSetup, node: &Node, file: &Arc<str>, faults: &mut Faults) {
     if let Content::Text(_) = node.content {
         match counter_mode(node) {
@@ -189,7 +189,7 @@
     map.end(faults);
 }
 
-/// A counter's mode: `normal`, `silent`, `rejecting`, `slow 5`.
+/// Reads the mode of the counter: `normal`, `silent`, `rejecting`, or `slow` with a factor, such as `slow 5`.
 pub(super) fn counter_mode(node: &Node) -> Result<CounterMode, ValueError> {
     let keyword = text(node)?;
     let Some(factor) = keyword.strip_prefix("slow ") else {
--- a/crates/expectations/src/compile/installation.rs
+++ b/crates/expectations/src/compile/installation.rs
@@ -1,4 +1,4 @@
-//! The installation: zones, limiters, delays and hosts. Its facts are read in [`facts`](super::facts).
+//! The installation: zones, limiters, network delays and hosts. [`facts`](super::facts) reads its facts.
 
 use super::aliases;
 use super::reading::{index_of, index_of_process, members};
@@ -11,22 +11,22 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// The work of a request where the installation states none for its class.
+/// The work of a request on a core of speed 1 if the facts state none for its class.
 const DEFAULT_WORK: Nanos = 100_000_000;
 
-/// The facts that an installation and an expectation add to the settings.
+/// The processes and facts that an installation and the section `given` of an expectation add to the settings.
 pub(super) struct Installation {
     pub(super) processes: Processes,
     pub(super) hosts: Vec<HostSetup>,
     pub(super) network: NetworkDelays,
-    /// The true settings of hosts and rules, which the settings under test do not change.
+    /// The deployment's settings with the facts applied: how hosts actually behave, which the limiters do not see.
     pub(super) ground_truth: Settings,
-    /// The work of a request, by class.
+    /// The work of a request on a core of speed 1, by class index.
     pub(super) work: Vec<Nanos>,
 }
 
 impl Installation {
-    /// Reads the installation's file.
+    /// Reads an installation file. Without `zones` the zones are those of the deployment.
     pub(super) fn read(top: &mut Reader<'_>, deployment: &Deployment, faults: &mut Faults) -> Self {
         let file = top.file();
         let classes = &deployment.settings.classes;
@@ -52,7 +52,8 @@
         installation
     }
 
-    /// Reads the parts of an installation that an expectation replaces.
+    /// Reads the hosts, network delays and facts of `given`. The network replaces that of the installation; hosts and
+    /// facts are changed key by key.
     pub(super) fn read_given(&mut self, given: &mut Reader<'_>, faults: &mut Faults) {
         let file = given.file();
         self.read_hosts(given.node("nodes"), file, faults);
@@ -62,11 +63,12 @@
         self.read_facts(given.node("facts"), file, faults);
     }
 
-    /// Hosts: a map of names and the differences from a default host, or a list of the only hosts that are present.
+    /// Reads hosts. A map adds hosts, or changes those known, by name; a missing key keeps its value or its default. A
+    /// list of names removes all other hosts.
     fn read_hosts(&mut self, node: Option<&Node>, file: &Arc<str>, faults: &mut Faults) {
         let Some(node) = node else { return };
         if let Content::List(names) = &node.content {
-            self.keep_hosts(names, file, faults);
+            self.retain_hosts(names, file, faults);
             return;
         }
         for Entry {
@@ -75,22 +77,22 @@
             ..
         } in members(node, file, "nodes", faults)
         {
-            let index = self.host_index(name);
+            let index = self.find_or_add_host(name);
             let mut map = Reader::new(file, &format!("nodes.{name}"), node, faults)
                 .with_aliases(aliases::HOST_KEYS);
             let zones = &self.processes.zones;
             let zone = map.take("zone", faults, |node| index_of(node, zones, "zone"));
             let host = &mut self.processes.hosts[index];
-            replace(&mut host.zone, zone.map(ZoneId::from_usize));
+            set_if_some(&mut host.zone, zone.map(ZoneId::from_usize));
             let cell = map.take("cell", faults, |node| quantity::count(node, 0..=1_000_000));
-            replace(&mut host.cell, cell.map(|cell| CellId(cell as u32)));
+            set_if_some(&mut host.cell, cell.map(|cell| CellId(cell as u32)));
             read_host_setup(&mut map, &mut self.hosts[index], faults);
             map.end(faults);
         }
     }
 
-    /// The index of a host, which is added where it is not known yet.
-    fn host_index(&mut self, name: &str) -> usize {
+    /// Returns the index of the host of this name; adds a default host if there is none.
+    fn find_or_add_host(&mut self, name: &str) -> usize {
         let hosts = &mut self.processes.hosts;
         if let Some(index) = hosts.iter().position(|host| host.name == name) {
             return index;
@@ -103,8 +105,8 @@
         hosts.len() - 1
     }
 
-    /// Keeps only the hosts of these names.
-    fn keep_hosts(&mut self, names: &[Node], file: &Arc<str>, faults: &mut Faults) {
+    /// Removes all hosts but those in `names`.
+    fn retain_hosts(&mut self, names: &[Node], file: &Arc<str>, faults: &mut Faults) {
         let mut retained = BTreeSet::new();
         for name in names {
             match index_of_process(name, &self.processes.hosts, "node") {
@@ -119,8 +121,8 @@
     }
 }
 
-/// Replaces a value, where there is a new one.
-pub(super) fn replace<T>(target: &mut T, value: Option<T>) {
+/// Assigns `value` to `target` if it is `Some`.
+pub(super) fn set_if_some<T>(target: &mut T, value: Option<T>) {
     if let Some(value) = value {
         *target = value;
     }
@@ -185,15 +187,15 @@
     let mut network = NetworkDelays::default();
     let Some(node) = node else { return network };
     let mut map = Reader::new(file, "network", node, faults).with_aliases(aliases::NETWORK_KEYS);
-    replace(
+    set_if_some(
         &mut network.same_zone,
         map.take("same_zone", faults, quantity::time),
     );
-    replace(
+    set_if_some(
         &mut network.cross_zone,
         map.take("cross_zone", faults, quantity::time),
     );
-    replace(
+    set_if_some(
         &mut network.counter,
         map.take("counter", faults, quantity::time),
     );
@@ -206,16 +208,16 @@
         ("serving", HostState::Ready),
         ("draining", HostState::Draining),
     ];
-    replace(&mut setup.state, map.keyword("state", &states, faults));
+    set_if_some(&mut setup.state, map.keyword("state", &states, faults));
     if let Some(uptime) = map.take("uptime", faults, quantity::time) {
         setup.uptime = Some(uptime);
     }
     let cores = map.take("cores", faults, |node| quantity::count(node, 1..=1024));
-    replace(&mut setup.cores, cores.map(|cores| cores as u32));
+    set_if_some(&mut setup.cores, cores.map(|cores| cores as u32));
     let capacity = map.take("queue_capacity", faults, |node| {
         quantity::count(node, 0..=1_000_000)
     });
-    replace(
+    set_if_some(
         &mut setup.queue_capacity,
         capacity.map(|capacity| capacity as usize),
     );
@@ -227,9 +229,9 @@
             map.fault("speed", problem, faults);
         }
     }
-    replace(
+    set_if_some(
         &mut setup.weight,
         map.take("weight", faults, quantity::number),
     );
-    replace(&mut setup.absent, map.take("absent", faults, flag));
+    set_if_some(&mut setup.absent, map.take("absent", faults, flag));
 }
--- a/crates/expectations/src/compile/reading.rs
+++ b/crates/expectations/src/compile/reading.rs
@@ -1,4 +1,4 @@
-//! Reading values of the files, as far as several parts of an expectation share it.
+//! Readers of values that several sections of an expectation share.
 
 use super::Compiler;
 use crate::error::ValueError;
@@ -9,7 +9,7 @@
 use quartzcleat_invariants::{HostIndex, PartnerIndex, Process};
 use std::sync::Arc;
 
-/// The members of a map whose keys are names.
+/// Returns the members of a map whose keys are names; none, with a fault, if the node is neither a map nor null.
 pub(super) fn members<'a>(
     node: &'a Node,
     file: &Arc<str>,
@@ -26,7 +26,7 @@
     }
 }
 
-/// The index of a name.
+/// Reads a name and returns its index in `names`.
 pub(super) fn index_of(
     node: &Node,
     names: &[String],
@@ -35,7 +35,7 @@
     index_of_name(&text(node)?, names, kind)
 }
 
-/// The index of a name that was read before.
+/// Returns the index of a name in `names`. `kind` is the term for it in the error.
 pub(super) fn index_of_name(
     name: &str,
     names: &[String],
@@ -47,7 +47,7 @@
         .ok_or_else(|| ValueError::unknown_name(kind, name, names))
 }
 
-/// The index of a process by its name.
+/// Reads the name of a process and returns its index.
 pub(super) fn index_of_process(
     node: &Node,
     processes: &[Process],
@@ -56,7 +56,7 @@
     index_of(node, &process_names(processes), kind)
 }
 
-/// The names of processes.
+/// Returns the names of processes, by index.
 pub(super) fn process_names(processes: &[Process]) -> Vec<String> {
     processes
         .iter()
@@ -64,7 +64,7 @@
         .collect()
 }
 
-/// One keyword or a list of them.
+/// Reads one keyword or a list that is not empty.
 pub(super) fn keywords<T: Copy>(
     node: &Node,
     known: &[(&str, T)],
@@ -75,30 +75,30 @@
         .map(|node| Ok(one_of_renamed(&text(node)?, known, aliases)?))
         .collect::<Result<_, ValueError>>()?;
     if values.is_empty() {
-        return Err(ValueError::NoKeyword);
+        return Err(ValueError::EmptyKeywords);
     }
     Ok(values)
 }
 
-/// The keys of which a map must have exactly one, which states the kind of the map.
-pub(super) struct Kinds {
+/// Mutually exclusive keys, of which a map must have exactly one.
+pub(super) struct ExclusiveKeys {
     pub(super) keys: &'static [&'static str],
-    /// The problem with a map that has none of them.
-    pub(super) lacking: &'static str,
-    /// How to write a map that has several of them.
+    /// The problem of a map that has none of the keys.
+    pub(super) missing: &'static str,
+    /// The remedy for a map that has several of the keys.
     pub(super) remedy: &'static str,
 }
 
-/// A map does not have exactly one of the keys that state its kind.
+/// A map that does not have exactly one of several mutually exclusive keys.
 #[derive(Debug, thiserror::Error)]
-pub(super) enum KindError {
-    /// It has none.
-    #[error("{lacking}; one of {}", keys.join(", "))]
+pub(super) enum ExclusiveKeysError {
+    /// The map has none of the keys.
+    #[error("{missing}; one of {}", keys.join(", "))]
     None {
-        lacking: &'static str,
+        missing: &'static str,
         keys: &'static [&'static str],
     },
-    /// It has several.
+    /// The map has several of the keys.
     #[error("{} at once; {remedy}", found.join(" and "))]
     Several {
         found: Vec<&'static str>,
@@ -106,18 +106,18 @@
     },
 }
 
-impl Kinds {
-    /// The one key of a map that states its kind.
-    pub(super) fn of(&self, map: &Reader<'_>) -> Result<&'static str, KindError> {
+impl ExclusiveKeys {
+    /// Returns the one key that the map has.
+    pub(super) fn find_in(&self, map: &Reader<'_>) -> Result<&'static str, ExclusiveKeysError> {
         let keys = self.keys.iter().copied();
         let found: Vec<&'static str> = keys.filter(|key| map.has(key)).collect();
         match found.as_slice() {
             [kind] => Ok(kind),
-            [] => Err(KindError::None {
-                lacking: self.lacking,
+            [] => Err(ExclusiveKeysError::None {
+                missing: self.missing,
                 keys: self.keys,
             }),
-            _ => Err(KindError::Several {
+            _ => Err(ExclusiveKeysError::Several {
                 found,
                 remedy: self.remedy,
             }),
@@ -126,43 +126,43 @@
 }
 
 impl Compiler<'_> {
-    /// A time, which may be a formula over the settings.
+    /// Reads a time, which may be a formula over the settings.
     pub(super) fn time(&mut self, node: &Node) -> Result<Nanos, ValueError> {
         let formula = formula::time(node, &|name| self.deployment.resolve(name))?;
         self.setting_keys.extend(formula.keys);
         Ok(formula.value)
     }
 
-    /// One time or a list of them.
+    /// Reads one time or a list that is not empty.
     pub(super) fn times(&mut self, node: &Node) -> Result<Vec<Nanos>, ValueError> {
         let times: Vec<Nanos> = list(node)
             .iter()
             .map(|node| self.time(node))
             .collect::<Result<_, _>>()?;
         if times.is_empty() {
-            return Err(ValueError::NoTime);
+            return Err(ValueError::EmptyTimes);
         }
         Ok(times)
     }
 
-    /// A number, which may be a formula over the settings.
+    /// Reads a number, which may be a formula over the settings.
     pub(super) fn number(&mut self, node: &Node) -> Result<f64, ValueError> {
         let formula = formula::number(node, &|name| self.deployment.resolve(name))?;
         self.setting_keys.extend(formula.keys);
         Ok(formula.value)
     }
 
-    /// One number or a list of them.
+    /// Reads one number or a list of them, which may be empty.
     pub(super) fn numbers(&mut self, node: &Node) -> Result<Vec<f64>, ValueError> {
         list(node).iter().map(|node| self.number(node)).collect()
     }
 
-    /// A class by its name.
+    /// Reads the name of a class.
     pub(super) fn class(&self, node: &Node) -> Result<ClassIndex, ValueError> {
         index_of(node, &self.processes.classes, "class").map(ClassIndex::from_usize)
     }
 
-    /// One partner or a list of them, by name.
+    /// Reads the name of a partner or a list of names, which may be empty.
     pub(super) fn partners<C: FromIterator<PartnerIndex>>(
         &self,
         node: &Node,
@@ -173,17 +173,17 @@
             .collect()
     }
 
-    /// A limiter by its name.
+    /// Reads the name of a limiter.
     pub(super) fn limiter(&self, node: &Node) -> Result<LimiterIndex, ValueError> {
         index_of_process(node, &self.processes.limiters, "limiter").map(LimiterIndex::from_usize)
     }
 
-    /// One limiter or a list of them, by name.
+    /// Reads the name of a limiter or a list of names, which may be empty.
     pub(super) fn limiters(&self, node: &Node) -> Result<Vec<LimiterIndex>, ValueError> {
         list(node).iter().map(|node| self.limiter(node)).collect()
     }
 
-    /// A host by its name.
+    /// Reads the name of a host.
     pub(super) fn host(&self, node: &Node) -> Result<HostIndex, ValueError> {
         index_of_process(node, &self.processes.hosts, "node").map(HostIndex)
     }
--- a/crates/expectations/src/compile/requests.rs
+++ b/crates/expectations/src/compile/requests.rs
@@ -1,4 +1,4 @@
-//! The requests that a step stands for.
+//! The requests of a step.
 
 use super::{Compiler, MAX_REQUESTS};
 use crate::error::ValueError;
@@ -10,33 +10,37 @@
 use quartzcleat_invariants::PartnerIndex;
 use quartzcleat_simulation::scenario::ClientRequest;
 
-/// A request and its delay after the step's moment.
+/// A request and its delay after the moment of its step.
 pub(super) struct DelayedRequest {
     pub(super) delay: Nanos,
     pub(super) request: ClientRequest,
 }
 
-/// The requests of a step, as written.
+/// The requests of a step as they are written. Lists are cycled through, one entry for each request.
 struct RequestTemplate {
     kind: RequestKind,
     /// The class of first requests, or the mark of the operation that is retried.
     name: Option<String>,
     class: ClassIndex,
-    /// The partners in turn.
+    /// The partners, cycled through; not empty.
     partners: Vec<PartnerIndex>,
-    /// The limiters in turn; `None` or empty for those of the partner.
+    /// The limiters, cycled through and not empty; `None` for those of the partner.
     limiters: Option<Vec<LimiterIndex>>,
-    /// The units in turn.
+    /// The units, cycled through; `None` for 1.
     units: Option<Vec<f64>>,
+    /// The true units; 0 if the stated ones are exact.
     true_units: f64,
     count: usize,
+    /// The interval between requests; 0 sends all of them at once.
     interval: Nanos,
+    /// How long the client waits, at most until the deadline of the class; `None` for that deadline.
     timeout: Option<Nanos>,
+    /// The name by which retries and requirements refer to the operation; `None` if nothing refers to it.
     mark: Option<String>,
 }
 
 impl Compiler<'_> {
-    /// Reads the requests of a step.
+    /// Reads the requests of a step. Returns none, with faults, if one of them is invalid.
     pub(super) fn read_requests(
         &mut self,
         map: &mut Reader<'_>,
@@ -47,12 +51,12 @@
             return Vec::new();
         };
         let mut requests = Vec::with_capacity(template.count);
-        for number in 0..template.count {
-            let Some(request) = self.request(&template, number, map, faults) else {
+        for index in 0..template.count {
+            let Some(request) = self.build_request(&template, index, map, faults) else {
                 return Vec::new();
             };
             requests.push(DelayedRequest {
-                delay: template.interval * number as u64,
+                delay: template.interval * index as u64,
                 request,
             });
         }
@@ -76,13 +80,13 @@
         let partners: Option<Vec<PartnerIndex>> =
             map.need("from", faults, |node| self.partners(node));
         let limiters = map.take("through", faults, |node| self.limiters(node));
-        let units = map.take("units", faults, |node| self.units(node));
+        let units = map.take("units", faults, |node| self.read_units(node));
         let true_units = map.take("true_units", faults, |node| self.number(node));
         if true_units.is_some() && !self.deployment.settings.units.are_estimates {
             let problem = "units are not estimates in these settings (familyInfo.costAfter)";
             map.fault("true_units", problem, faults);
         }
-        let count = map.take("count", faults, |node| self.request_count(node));
+        let count = map.take("count", faults, |node| self.read_request_count(node));
         let interval = map.take("every", faults, |node| self.time(node));
         let timeout = map.take("timeout", faults, |node| self.time(node));
         let mark = map.take("mark", faults, text);
@@ -105,8 +109,9 @@
         })
     }
 
-    /// The units of requests in turn.
-    fn units(&mut self, node: &Node) -> Result<Vec<f64>, ValueError> {
+    /// Reads the units of requests: one number or a list, each above 0 and at most the largest request of the settings,
+    /// which is unlimited if it is 0.
+    fn read_units(&mut self, node: &Node) -> Result<Vec<f64>, ValueError> {
         let largest = self.deployment.settings.units.largest_request;
         let max = if largest > 0.0 { largest } else { f64::MAX };
         let units = self.numbers(node)?;
@@ -117,7 +122,8 @@
         }
     }
 
-    fn request_count(&mut self, node: &Node) -> Result<usize, ValueError> {
+    /// Reads the number of requests, rounded up to a whole number.
+    fn read_request_count(&mut self, node: &Node) -> Result<usize, ValueError> {
         let count = self.number(node)?.ceil();
         let max = MAX_REQUESTS;
         if (1.0..=max as f64).contains(&count) {
@@ -127,18 +133,18 @@
         }
     }
 
-    /// One request of a step.
-    fn request(
+    /// Builds the request of a step at `index`, counted from 0. Returns `None`, with a fault, if it is invalid.
+    fn build_request(
         &mut self,
         template: &RequestTemplate,
-        number: usize,
+        index: usize,
         map: &Reader<'_>,
         faults: &mut Faults,
     ) -> Option<ClientRequest> {
-        let partner_index = in_turn(&template.partners, number);
+        let partner_index = cyclic(&template.partners, index);
         let partner = &self.partners[partner_index.0];
         let limiters = template.limiters.as_ref().unwrap_or(&partner.limiters);
-        let limiter = in_turn(limiters, number);
+        let limiter = cyclic(limiters, index);
         if !partner.limiters.contains(&limiter) {
             let limiter = self.processes.limiter(limiter);
             let partner = &self.processes.partners[partner_index.0];
@@ -161,7 +167,7 @@
             units: template
                 .units
                 .as_ref()
-                .map_or(1.0, |units| in_turn(units, number)),
+                .map_or(1.0, |units| cyclic(units, index)),
             true_units: template.true_units,
             limiter,
             limiter_set,
@@ -170,7 +176,7 @@
         })
     }
 
-    /// The operation of a request: the one that it retries, or a new one.
+    /// Returns the operation of a request: the one that a retry names, that of its mark, or a new one.
     fn operation_of(
         &mut self,
         template: &RequestTemplate,
@@ -186,22 +192,22 @@
                 }
                 operation
             }
-            (RequestKind::First, _, Some(mark)) => Some(self.marked_operation(mark)),
+            (RequestKind::First, _, Some(mark)) => Some(self.operation_for_mark(mark)),
             _ => {
-                let unmarked = format!("#{}", self.operations.len());
-                Some(self.marked_operation(&unmarked))
+                let generated_mark = format!("#{}", self.operations.len());
+                Some(self.operation_for_mark(&generated_mark))
             }
         }
     }
 
-    /// The operation of a mark, which is a new one where the mark is new.
-    fn marked_operation(&mut self, mark: &str) -> u64 {
+    /// Returns the operation of a mark; assigns the next number if the mark is new.
+    fn operation_for_mark(&mut self, mark: &str) -> u64 {
         let next = self.operations.len() as u64 + 1;
         *self.operations.entry(mark.to_owned()).or_insert(next)
     }
 }
 
-/// The value whose turn it is.
-fn in_turn<T: Copy>(values: &[T], number: usize) -> T {
-    values[number % values.len()]
+/// Returns the value at `index`, cycling through `values`, which must not be empty.
+fn cyclic<T: Copy>(values: &[T], index: usize) -> T {
+    values[index % values.len()]
 }
--- a/crates/expectations/src/compile/requirements.rs
+++ b/crates/expectations/src/compile/requirements.rs
@@ -1,7 +1,7 @@
-//! Requirements: which requests they are about, and what must hold, with formulas evaluated.
+//! The requirements of an expectation: the requests that they apply to and their conditions, with formulas evaluated.
 
 use super::aliases;
-use super::reading::{index_of_name, process_names, Kinds};
+use super::reading::{index_of_name, process_names, ExclusiveKeys};
 use super::Compiler;
 use crate::error::ValueError;
 use crate::requirement::{
@@ -14,8 +14,8 @@
 use quartzcleat_invariants::HostIndex;
 use std::sync::Arc;
 
-/// The keys that state the condition of a requirement.
-const KINDS: Kinds = Kinds {
+/// The keys for the condition of a requirement.
+const CONDITION_KEYS: ExclusiveKeys = ExclusiveKeys {
     keys: &[
         "never",
         "always",
@@ -32,25 +32,26 @@
         "answered",
         "retry_after",
     ],
-    lacking: "a requirement without a condition",
+    missing: "a requirement without a condition",
     remedy: "write an entry for each",
 };
 
 /// The unit of bounds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum BoundUnit {
+    /// A time, in nanoseconds.
     Time,
-    /// A number, or a share as a percentage.
+    /// A plain number, or a share written as a percentage.
     Number,
 }
 
-/// Bounds, and the host that a share is of, where one is named.
+/// Bounds, and the host whose share they limit; `None` if no host is named.
 struct HostBounds {
     bounds: Bounds,
     host: Option<HostIndex>,
 }
 
-/// A requirement's place in its file.
+/// The position of a requirement in its file.
 struct Location<'a> {
     file: &'a Arc<str>,
     path: String,
@@ -71,7 +72,7 @@
         let mut map =
             Reader::new(file, &location.path, node, faults).with_aliases(aliases::REQUIREMENT_KEYS);
         let filter = self.read_filter(&mut map, faults);
-        let kind = match KINDS.of(&map) {
+        let kind = match CONDITION_KEYS.find_in(&map) {
             Ok(kind) => kind,
             Err(problem) => {
                 faults.add(file, node.place, location.path, problem);
@@ -97,7 +98,7 @@
             class: map.take("class", faults, |node| self.class(node)),
             partners: map.take("from", faults, |node| self.partners(node)),
             limiter: map.take("through", faults, |node| self.limiter(node)),
-            operation: map.take("mark", faults, |node| self.marked(node)),
+            operation: map.take("mark", faults, |node| self.operation(node)),
             after: map
                 .take("after", faults, |node| self.time(node))
                 .unwrap_or(0),
@@ -108,7 +109,8 @@
         }
     }
 
-    fn marked(&self, node: &Node) -> Result<u64, ValueError> {
+    /// Reads a mark and returns the operation of the request that carries it.
+    fn operation(&self, node: &Node) -> Result<u64, ValueError> {
         let name = text(node)?;
         let operation = self.operations.get(&name).copied();
         operation.ok_or(ValueError::UnknownMark { name })
@@ -124,13 +126,15 @@
     ) -> Option<Condition> {
         match kind {
             "never" => map
-                .take("never", faults, |node| self.event(node, grace))
+                .take("never", faults, |node| self.request_event(node, grace))
                 .map(Condition::Never),
             "always" => map
-                .take("always", faults, |node| match self.event(node, grace)? {
-                    RequestEvent::ReachesUnavailableHost { .. }
-                    | RequestEvent::ReachesHostTwice => Err(ValueError::NotForEveryRequest),
-                    event => Ok(event),
+                .take("always", faults, |node| {
+                    match self.request_event(node, grace)? {
+                        RequestEvent::ReachesUnavailableHost { .. }
+                        | RequestEvent::ReachesHostTwice => Err(ValueError::NotForEveryRequest),
+                        event => Ok(event),
+                    }
                 })
                 .map(Condition::Always),
             "answered" => map
@@ -179,18 +183,18 @@
         Some(Condition::Metric { metric, bounds })
     }
 
-    /// Reads an event.
-    fn event(&self, node: &Node, grace: Nanos) -> Result<RequestEvent, ValueError> {
-        let words = text(node)?;
-        if let Some(name) = words.strip_prefix("reaches node ") {
+    /// Reads the event of `never` or `always`. `grace` applies to attempts to a draining or lost host.
+    fn request_event(&self, node: &Node, grace: Nanos) -> Result<RequestEvent, ValueError> {
+        let keyword = text(node)?;
+        if let Some(name) = keyword.strip_prefix("reaches node ") {
             let names = process_names(&self.processes.hosts);
             return index_of_name(name, &names, "node")
                 .map(|host| RequestEvent::ReachesHost(HostIndex(host)));
         }
-        let reaches = |state| RequestEvent::ReachesUnavailableHost { state, grace };
+        let unavailable = |state| RequestEvent::ReachesUnavailableHost { state, grace };
         let events = [
-            ("reaches a draining node", reaches(HostState::Draining)),
-            ("reaches a lost node", reaches(HostState::Gone)),
+            ("reaches a draining node", unavailable(HostState::Draining)),
+            ("reaches a lost node", unavailable(HostState::Gone)),
             (
                 "reaches a node in slow start",
                 RequestEvent::ReachesWarmingUpHost,
@@ -205,10 +209,10 @@
             ("is served", RequestEvent::Served),
             ("fails", RequestEvent::Failed),
         ];
-        Ok(one_of_renamed(&words, &events, aliases::REQUEST_EVENTS)?)
+        Ok(one_of_renamed(&keyword, &events, aliases::REQUEST_EVENTS)?)
     }
 
-    /// Bounds from `{at least: ..., at most: ...}` or from one value, which is the upper bound.
+    /// Reads bounds, as `{at least: ..., at most: ...}` or as one value, which is the upper bound.
     fn read_bounds(
         &mut self,
         file: &Arc<str>,
@@ -219,7 +223,7 @@
     ) -> HostBounds {
         let mut bounds = Bounds::default();
         if !matches!(node.content, Content::Map(_)) {
-            match self.bound(node, unit, &mut bounds.is_share) {
+            match self.read_bound(node, unit, &mut bounds.is_share) {
                 Ok(at_most) => bounds.at_most = Some(at_most),
                 Err(problem) => faults.add(file, node.place, key, problem),
             }
@@ -227,8 +231,12 @@
         }
         let mut map = Reader::new(file, key, node, faults);
         let is_share = &mut bounds.is_share;
-        let at_least = map.take("at least", faults, |node| self.bound(node, unit, is_share));
-        let at_most = map.take("at most", faults, |node| self.bound(node, unit, is_share));
+        let at_least = map.take("at least", faults, |node| {
+            self.read_bound(node, unit, is_share)
+        });
+        let at_most = map.take("at most", faults, |node| {
+            self.read_bound(node, unit, is_share)
+        });
         let host = map.take("of", faults, |node| self.host(node));
         if at_least.is_none() && at_most.is_none() {
             map.fault("at most", "missing, and at least too", faults);
@@ -244,8 +252,8 @@
         HostBounds { bounds, host }
     }
 
-    /// One bound. A percentage makes the bounds those of a share.
-    fn bound(
+    /// Reads one bound. A percentage sets `is_share`.
+    fn read_bound(
         &mut self,
         node: &Node,
         unit: BoundUnit,
--- a/crates/expectations/src/compile/steps.rs
+++ b/crates/expectations/src/compile/steps.rs
@@ -1,8 +1,8 @@
-//! Steps: what happens, and when.
+//! The steps of an expectation: events and the moments at which they happen.
 
 use super::aliases;
 use super::given::counter_mode;
-use super::reading::Kinds;
+use super::reading::ExclusiveKeys;
 use super::Compiler;
 use crate::requirement::RequestKind;
 use quartzcleat_config::reader::{one_of_renamed, text};
@@ -12,8 +12,8 @@
 use quartzcleat_simulation::scenario::{ScenarioEvent, Step};
 use std::sync::Arc;
 
-/// The keys that state the event of a step.
-const KINDS: Kinds = Kinds {
+/// The keys for the event of a step.
+const EVENT_KEYS: ExclusiveKeys = ExclusiveKeys {
     keys: &[
         "request",
         "retry",
@@ -28,12 +28,12 @@
         "stop",
         "restart",
     ],
-    lacking: "a step without an event",
+    missing: "a step without an event",
     remedy: "write a step for each",
 };
 
 impl Compiler<'_> {
-    /// Reads a step, which stands for several where it has several requests.
+    /// Reads a step and adds it to `steps`; a step with several requests adds one for each of them.
     pub(super) fn read_step(
         &mut self,
         file: &Arc<str>,
@@ -50,7 +50,7 @@
             "free" => Ok(0),
             _ => quantity::count(node, 1..=100).map(|group| group as u32),
         });
-        let kind = match KINDS.of(&map) {
+        let kind = match EVENT_KEYS.find_in(&map) {
             Ok(kind) => kind,
             Err(problem) => {
                 faults.add(file, node.place, path, problem);
@@ -81,7 +81,7 @@
         map.end(faults);
     }
 
-    /// Reads an event of the environment.
+    /// Reads an event other than a request: one of a host, a limiter, the counter or discovery.
     fn read_event(
         &self,
         kind: &'static str,
--- a/crates/expectations/src/history/builder.rs
+++ b/crates/expectations/src/history/builder.rs
@@ -1,4 +1,4 @@
-//! Builds a run's history, record by record.
+//! Builds the history of a run, record by record.
 
 use super::{AnsweredAt, KnownHosts, KnownState, RequestHistory, RunHistory, SentAttempt};
 use crate::requirement::RequestKind;
@@ -6,26 +6,29 @@
 use quartzcleat_invariants::{Fact, HostIndex, Processes, Record};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A host from the view of a limiter.
+/// A limiter and a host, as the key of what the limiter knows about the host.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct LimiterHost {
     limiter: LimiterIndex,
     host: HostIndex,
 }
 
-/// Gathers the history of a run.
+/// Builds the history of a run.
 pub(super) struct HistoryBuilder<'a> {
     processes: &'a Processes,
     history: RunHistory,
-    /// The index of each request's history.
-    positions: BTreeMap<RequestId, usize>,
+    /// The index of each request in `history.requests`.
+    request_indices: BTreeMap<RequestId, usize>,
+    /// The operations of the requests so far; a further request for one of them is a retry.
     operations: BTreeSet<u64>,
     known_states: BTreeMap<LimiterHost, KnownState>,
+    /// The hosts that have started or were warming up at an attempt. A host that has warmed up stays in the set.
     warming_up: BTreeSet<HostIndex>,
 }
 
 impl<'a> HistoryBuilder<'a> {
-    /// An empty history of a run with these processes.
+    /// Creates a builder for a run with these processes. The run starts at the time of the first record, or at 0 if
+    /// there is none.
     pub(super) fn new(processes: &'a Processes, records: &[Record]) -> Self {
         HistoryBuilder {
             processes,
@@ -34,24 +37,24 @@
                 requests: Vec::new(),
                 executions: BTreeMap::new(),
             },
-            positions: BTreeMap::new(),
+            request_indices: BTreeMap::new(),
             operations: BTreeSet::new(),
             known_states: BTreeMap::new(),
             warming_up: BTreeSet::new(),
         }
     }
 
-    /// The history of all records that were added.
+    /// Returns the history of the records added so far.
     pub(super) fn finish(self) -> RunHistory {
         self.history
     }
 
     fn request(&mut self, id: RequestId) -> Option<&mut RequestHistory> {
-        let position = *self.positions.get(&id)?;
-        self.history.requests.get_mut(position)
+        let index = *self.request_indices.get(&id)?;
+        self.history.requests.get_mut(index)
     }
 
-    /// Adds a record. Records are added in their order.
+    /// Adds a record. Records must be added in the order of the run.
     pub(super) fn add(&mut self, record: &Record) {
         let at = record.at;
         match &record.fact {
@@ -116,7 +119,8 @@
             return;
         };
         let is_first = self.operations.insert(*operation);
-        self.positions.insert(*request, self.history.requests.len());
+        self.request_indices
+            .insert(*request, self.history.requests.len());
         self.history.requests.push(RequestHistory {
             id: *request,
             limiter: *limiter,
@@ -190,9 +194,9 @@
     }
 
     fn known_hosts(&self, limiter: LimiterIndex) -> KnownHosts {
-        let has = |state: HostState, is_meant: &dyn Fn(HostIndex) -> bool| {
+        let has = |state: HostState, is_included: &dyn Fn(HostIndex) -> bool| {
             self.known_states.iter().any(|(key, known)| {
-                key.limiter == limiter && known.state == state && is_meant(key.host)
+                key.limiter == limiter && known.state == state && is_included(key.host)
             })
         };
         KnownHosts {
--- a/crates/expectations/src/lib.rs
+++ b/crates/expectations/src/lib.rs
@@ -1,10 +1,11 @@
-//! Expectations: what operators expect of routing, quotas and retries, written as YAML beside the configuration and
-//! checked without traffic, by running the real decision engine through every small scenario that they allow.
+//! Checks operators' expectations of routing, quotas and retries. Expectations are written as YAML beside the
+//! configuration and checked without traffic: the real decision engine runs through every small scenario that they
+//! allow.
 //!
 //! [`suite`] reads files, [`mod@compile`] turns an expectation into a scenario and its requirements for a deployment,
-//! [`explore`] searches through the runs of the scenario, [`evaluation`] judges a run, [`attribution`] finds the lines
-//! of configuration behind a verdict, [`mod@check`] puts these together, and [`report`] renders the results. The
-//! crate knows no sockets.
+//! [`explore`] searches the runs of the scenario, [`evaluation`] judges a run, [`attribution`] finds the lines of
+//! configuration that cause a verdict, [`mod@check`] combines these steps, and [`report`] renders the results. The
+//! crate opens no sockets.
 
 pub mod attribution;
 pub mod check;
--- a/crates/expectations/src/requirement.rs
+++ b/crates/expectations/src/requirement.rs
@@ -1,128 +1,128 @@
-//! Requirements: the conditions of an expectation on a run, as plain data.
+//! Requirements: the conditions that an expectation places on a run, as plain data.
 
 use quartzcleat_decision::api::{ClassIndex, HostState, LimiterIndex, Nanos};
 use quartzcleat_invariants::{HostIndex, PartnerIndex};
 use std::collections::BTreeSet;
 
-/// Whether a request is the first one for its operation.
+/// The position of a request among those for its operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestKind {
     /// The first request for its operation.
     First,
-    /// A retry of its client.
+    /// A client's retry: any later request for the operation.
     Retry,
 }
 
-/// The requests that a requirement is about. A field that is `None` selects all.
+/// A selection of the requests that a requirement applies to. A field that is `None` selects all of them.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RequestFilter {
-    /// Their class.
+    /// The class of the requests.
     pub class: Option<ClassIndex>,
-    /// Their partners.
+    /// The partners that send the requests.
     pub partners: Option<BTreeSet<PartnerIndex>>,
-    /// The limiter through which they come.
+    /// The limiter that receives the requests.
     pub limiter: Option<LimiterIndex>,
-    /// Their operation.
+    /// The operation of the requests, as their mark names it.
     pub operation: Option<u64>,
-    /// Received no sooner than this after the start of the run.
+    /// The earliest time of receipt, in nanoseconds after the start of the run.
     pub after: Nanos,
-    /// Received before this time after the start of the run.
+    /// The exclusive upper bound of the time of receipt, in nanoseconds after the start of the run.
     pub until: Option<Nanos>,
-    /// First requests or retries only.
+    /// Restricts the selection to first requests or to retries.
     pub kind: Option<RequestKind>,
 }
 
-/// What may happen to a request.
+/// An event that can happen to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestEvent {
-    /// It is sent to a host that its limiter knows to be in this state.
+    /// The request is sent to a host that its limiter knows to be in this state.
     ReachesUnavailableHost {
         /// Draining or gone.
         state: HostState,
-        /// Not counted within this time after the limiter was notified.
+        /// The time after the limiter was notified of the state during which an attempt does not count.
         grace: Nanos,
     },
-    /// It is sent to a host that is warming up.
+    /// The request is sent to a host that is warming up (in slow start).
     ReachesWarmingUpHost,
-    /// It is sent to this host.
+    /// The request is sent to this host.
     ReachesHost(HostIndex),
-    /// It is sent to another zone than its limiter's.
+    /// The request is sent to a host outside its limiter's zone.
     LeavesZone,
-    /// Two of its attempts go to one host.
+    /// Two attempts of the request go to the same host.
     ReachesHostTwice,
-    /// It is rejected.
+    /// The request is rejected.
     Rejected,
-    /// It is rejected without `retry_after`.
+    /// The request is rejected without `retry_after`.
     RejectedWithoutRetryAfter,
-    /// It is served.
+    /// The request is served.
     Served,
-    /// It is failed.
+    /// The request fails.
     Failed,
 }
 
-/// A value that is measured over the selected requests.
+/// A value computed over the selected requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Metric {
-    /// Attempts of each request.
+    /// The number of attempts of each request.
     Attempts,
-    /// Executions of each operation, without deduplicated repeats.
+    /// The number of executions of each operation, without deduplicated repeats.
     Executions,
-    /// Attempts in flight at one moment.
+    /// The number of attempts in flight at one moment.
     AttemptsInFlight,
-    /// Units of forwarded requests.
+    /// The total units of the forwarded requests.
     ForwardedUnits,
-    /// Requests forwarded.
+    /// The number of requests that were sent to a host at least once.
     Forwarded,
-    /// Requests served.
+    /// The number of requests served.
     Served,
-    /// Requests rejected.
+    /// The number of requests rejected.
     Rejected,
-    /// Requests failed.
+    /// The number of requests failed.
     Failed,
-    /// Attempts to another zone.
+    /// The number of attempts sent outside the limiter's zone.
     CrossZoneAttempts,
-    /// Attempts to one host, as a share of all.
+    /// The attempts sent to this host, as a share of all attempts.
     HostShare(HostIndex),
 }
 
-/// Bounds of a value.
+/// The inclusive bounds of a value.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Bounds {
-    /// The lower bound.
+    /// The lower bound; `None` if there is none.
     pub at_least: Option<f64>,
-    /// The upper bound.
+    /// The upper bound; `None` if there is none.
     pub at_most: Option<f64>,
-    /// The value is a share of all selected requests.
+    /// Whether the bounds are shares from 0 to 1, which apply to a sum divided by its largest possible value.
     pub is_share: bool,
 }
 
-/// What must hold for the selected requests.
+/// A condition on the selected requests.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Condition {
-    /// An event never happens.
+    /// The event happens to none of the requests.
     Never(RequestEvent),
-    /// An event happens to every request.
+    /// The event happens to every request.
     Always(RequestEvent),
-    /// A metric lies within bounds.
+    /// The metric lies within its bounds.
     Metric {
-        /// The metric.
+        /// The value that is compared.
         metric: Metric,
-        /// Its bounds.
+        /// The bounds, which include their ends.
         bounds: Bounds,
     },
-    /// Each request has its answer within this time.
+    /// Each answer is given within this many nanoseconds of the receipt of its request.
     AnsweredWithin(Nanos),
-    /// The `retry_after` of rejections lies within bounds, in nanoseconds.
+    /// The `retry_after` of every rejection lies within these bounds, in nanoseconds.
     RetryAfter(Bounds),
 }
 
-/// A condition, the requests that it is about, and where it is written.
+/// A condition, the requests that it applies to, and its position in the file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Requirement {
-    /// Which requests.
+    /// The requests that the condition applies to.
     pub filter: RequestFilter,
-    /// What must hold.
+    /// The condition that must hold.
     pub condition: Condition,
-    /// Its line in the file.
+    /// The line of the requirement in the file of expectations, counted from 1.
     pub line: u32,
 }
--- a/crates/expectations/src/suite.rs
+++ b/crates/expectations/src/suite.rs
@@ -1,5 +1,5 @@
-//! Files of expectations, read as far as they can be without a deployment's settings: names, places and the parts
-//! that [`mod@crate::compile`] interprets.
+//! Files of expectations, read as far as is possible without the settings of a deployment: names, positions, and the
+//! YAML trees that [`mod@crate::compile`] interprets.
 
 use quartzcleat_config::reader::{list, text};
 use quartzcleat_config::tree::{self, Content, Node};
@@ -8,29 +8,29 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-/// One expectation as written.
+/// One expectation as it is written in its file.
 #[derive(Clone, Debug)]
 pub struct Expectation {
-    /// The name of its file.
+    /// The name of the file that contains it.
     pub file: Arc<str>,
-    /// Its line.
+    /// The line at which it begins, counted from 1.
     pub line: u32,
-    /// Its name, a sentence.
+    /// The name: a sentence that is unique in the file.
     pub name: String,
-    /// The facts that the expectation adds to the installation.
+    /// The section `given`: facts added to the installation, settings, and choices for the search; null if missing.
     pub given: Node,
-    /// The steps.
+    /// The list of steps.
     pub when: Node,
-    /// The requirements.
+    /// The list of requirements.
     pub must: Node,
 }
 
-/// A file and the tree that was parsed from it.
+/// A YAML file and the tree that was parsed from it.
 #[derive(Clone, Debug)]
 pub struct ParsedFile {
     /// The file's name.
     pub file: Arc<str>,
-    /// Its content.
+    /// The root node of the file.
     pub tree: Node,
 }
 
@@ -39,21 +39,21 @@
 pub struct Suite {
     /// The file's name.
     pub file: Arc<str>,
-    /// The file with the settings of the deployment that it is meant for.
+    /// The path of the settings of the deployment that the file is written for.
     pub settings: PathBuf,
-    /// The installation, which all expectations share.
+    /// The installation that all expectations of the file share.
     pub installation: ParsedFile,
-    /// The expectations.
+    /// The valid expectations of the file.
     pub expectations: Vec<Expectation>,
 }
 
-/// Reads a file of expectations and the installation that it names. Valid expectations are kept beside the faults of
-/// others; `None` where nothing of the file can be used.
+/// Reads a file of expectations and the installation that it names. Returns the valid expectations even if others have
+/// faults, and `None` if nothing in the file is usable.
 pub fn read(path: &Path, faults: &mut Faults) -> Option<Suite> {
     read_with(path, &|path| std::fs::read_to_string(path), faults)
 }
 
-/// As [`read`], with files that come from elsewhere than the file system.
+/// Reads a file of expectations as [`read`] does, with `read_file` in place of the file system.
 pub fn read_with(
     path: &Path,
     read_file: &dyn Fn(&Path) -> io::Result<String>,
@@ -61,11 +61,13 @@
 ) -> Option<Suite> {
     let ParsedFile { file, tree } = load(path, read_file, faults)?;
     let mut top = Reader::new(&file, "", &tree, faults);
-    let beside = |name: &str| path.parent().unwrap_or(Path::new(".")).join(name);
-    let settings = top.need("settings", faults, text).map(|name| beside(&name));
+    let sibling = |name: &str| path.parent().unwrap_or(Path::new(".")).join(name);
+    let settings = top
+        .need("settings", faults, text)
+        .map(|name| sibling(&name));
     let installation = top
         .need("installation", faults, text)
-        .map(|name| beside(&name));
+        .map(|name| sibling(&name));
     let nodes = top.node("expectations").map(list).unwrap_or_default();
     if nodes.is_empty() {
         top.fault("expectations", "none; write a list of them", faults);
@@ -81,7 +83,7 @@
     })
 }
 
-/// Reads the valid expectations of a list.
+/// Reads a list of expectations and returns the valid ones.
 fn read_expectations(file: &Arc<str>, nodes: &[Node], faults: &mut Faults) -> Vec<Expectation> {
     let mut expectations: Vec<Expectation> = Vec::new();
     for (index, node) in nodes.iter().enumerate() {
@@ -129,7 +131,7 @@
     }
 }
 
-/// Reads a YAML file.
+/// Reads and parses a YAML file. Returns `None`, and adds the faults, if either fails.
 fn load(
     path: &Path,
     read_file: &dyn Fn(&Path) -> io::Result<String>,
@@ -153,15 +155,16 @@
     }
 }
 
-/// The files of expectations that paths name: files, and folders of them. The file of an installation is none.
+/// Returns the files of expectations at `paths`. A folder stands for all files of expectations in it and in the folders
+/// below; installation files are left out.
 #[must_use]
 pub fn find(paths: &[PathBuf]) -> Vec<PathBuf> {
     let mut found = Vec::new();
     for path in paths {
         if path.is_dir() {
-            let entries = entries_of(path);
+            let entries = sorted_entries(path);
             found.extend(entries.iter().filter(|path| is_suite(path)).cloned());
-            // A folder within belongs to another deployment.
+            // A subfolder holds the expectations of another deployment.
             let folders: Vec<PathBuf> = entries.into_iter().filter(|path| path.is_dir()).collect();
             found.extend(find(&folders));
         } else {
@@ -171,8 +174,8 @@
     found
 }
 
-/// The sorted entries of a folder; none where it cannot be read.
-fn entries_of(folder: &Path) -> Vec<PathBuf> {
+/// Returns the sorted entries of a folder; an empty list if it cannot be read.
+fn sorted_entries(folder: &Path) -> Vec<PathBuf> {
     let mut entries: Vec<PathBuf> = std::fs::read_dir(folder)
         .into_iter()
         .flatten()
