--- a/crates/expectations/src/compile.rs
+++ b/crates/expectations/src/compile.rs
@@ -123,7 +123,10 @@
         }
         steps.sort_by_key(|step| step.moments.first().copied().unwrap_or(0));
         if steps.len() > MAX_REQUESTS {
-            let problem = format!("{} steps; {MAX_REQUESTS} at most", steps.len());
+            let problem = format!(
+                "{} requests and events; at most {MAX_REQUESTS} are allowed",
+                steps.len()
+            );
             faults.add(file, expectation.when.place, "when", problem);
         }
     }
@@ -181,7 +184,7 @@
                     given.file(),
                     *place,
                     format!("given.settings.{key}"),
-                    "no key of a day's settings",
+                    "unknown key of the deployment's settings",
                 );
             }
             changes.push(Change::set(key, value.content.clone()));
--- a/crates/expectations/src/compile/given.rs
+++ b/crates/expectations/src/compile/given.rs
@@ -80,7 +80,7 @@
             let limiters = limiters.unwrap_or_else(|| self.processes.limiter_indices().collect());
             if !are_consecutive(&limiters, limiter_count) {
                 let problem =
-                    "limiters that do not follow one another; a partner's set goes round from its first";
+                    "limiters are not consecutive; a partner's set is a run of them that may wrap from the last to the first";
                 faults.add(file, *place, format!("partners.{name}.through"), problem);
                 continue;
             }
@@ -203,6 +203,7 @@
         Ok(factor) if (1.0..=MAX_SLOW_FACTOR).contains(&factor) => Ok(CounterMode::Slow(factor)),
         _ => Err(ValueError::InvalidFactor {
             factor: factor.to_owned(),
+            max: MAX_SLOW_FACTOR,
         }),
     }
 }
--- a/crates/expectations/src/compile/installation.rs
+++ b/crates/expectations/src/compile/installation.rs
@@ -159,7 +159,12 @@
 ) -> Vec<Process> {
     let Some(node) = node else {
         let start = Place { line: 1, column: 1 };
-        faults.add(file, start, "limiters", "missing; write name: zone lines");
+        faults.add(
+            file,
+            start,
+            "limiters",
+            "missing; write a line `name: zone` for each limiter",
+        );
         return Vec::new();
     };
     let mut limiters = Vec::new();
@@ -225,7 +230,7 @@
         if speed > 0.0 {
             setup.speed = speed;
         } else {
-            let problem = "0; a node without any speed has crashed";
+            let problem = "must be greater than 0; use a crash step for a node that stops";
             map.fault("speed", problem, faults);
         }
     }
--- a/crates/expectations/src/compile/reading.rs
+++ b/crates/expectations/src/compile/reading.rs
@@ -20,7 +20,7 @@
         Content::Map(members) => members,
         Content::Null => &[],
         _ => {
-            faults.add(file, node.place, key, "not a map of names");
+            faults.add(file, node.place, key, "not a map with names as keys");
             &[]
         }
     }
@@ -93,13 +93,13 @@
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ExclusiveKeysError {
     /// The map has none of the keys.
-    #[error("{missing}; one of {}", keys.join(", "))]
+    #[error("{missing}; specify one of {}", keys.join(", "))]
     None {
         missing: &'static str,
         keys: &'static [&'static str],
     },
     /// The map has several of the keys.
-    #[error("{} at once; {remedy}", found.join(" and "))]
+    #[error("{} exclude each other; {remedy}", found.join(" and "))]
     Several {
         found: Vec<&'static str>,
         remedy: &'static str,
--- a/crates/expectations/src/compile/requests.rs
+++ b/crates/expectations/src/compile/requests.rs
@@ -92,7 +92,11 @@
         let mark = map.take("mark", faults, text);
         let count = count.unwrap_or(1);
         if mark.is_some() && count > 1 {
-            map.fault("mark", "names one request, and there are several", faults);
+            map.fault(
+                "mark",
+                "a mark names a single request, but count is above 1",
+                faults,
+            );
         }
         Some(RequestTemplate {
             kind,
@@ -150,7 +154,7 @@
             let partner = &self.processes.partners[partner_index.0];
             map.fault(
                 "through",
-                format!("{limiter} is not of {partner}'s set"),
+                format!("{limiter} is not in the limiter set of {partner}"),
                 faults,
             );
             return None;
@@ -187,7 +191,7 @@
             (RequestKind::Retry, Some(name), _) => {
                 let operation = self.operations.get(name).copied();
                 if operation.is_none() {
-                    let problem = format!("no request before it is marked {name:?}");
+                    let problem = format!("no earlier request is marked {name:?}");
                     map.fault("retry", problem, faults);
                 }
                 operation
--- a/crates/expectations/src/compile/requirements.rs
+++ b/crates/expectations/src/compile/requirements.rs
@@ -32,8 +32,8 @@
         "answered",
         "retry_after",
     ],
-    missing: "a requirement without a condition",
-    remedy: "write an entry for each",
+    missing: "the requirement has no condition",
+    remedy: "write a requirement for each",
 };
 
 /// The unit of bounds.
@@ -239,11 +239,15 @@
         });
         let host = map.take("of", faults, |node| self.host(node));
         if at_least.is_none() && at_most.is_none() {
-            map.fault("at most", "missing, and at least too", faults);
+            map.fault(
+                "at most",
+                "missing; write at least, at most or both",
+                faults,
+            );
         }
         let is_empty = |(at_least, at_most)| at_least > at_most;
         if at_least.zip(at_most).is_some_and(is_empty) {
-            let problem = "more than at most; nothing lies between";
+            let problem = "greater than at most; no value can satisfy both";
             map.fault("at least", problem, faults);
         }
         map.end(faults);
--- a/crates/expectations/src/compile/steps.rs
+++ b/crates/expectations/src/compile/steps.rs
@@ -28,7 +28,7 @@
         "stop",
         "restart",
     ],
-    missing: "a step without an event",
+    missing: "the step has no event",
     remedy: "write a step for each",
 };
 
@@ -133,7 +133,11 @@
         let new = map.need("by", faults, |node| self.host(node));
         let (old, new) = (old?, new?);
         if !self.hosts[new.0].absent || old == new {
-            map.fault("by", "is there already; give it absent: true", faults);
+            map.fault(
+                "by",
+                "must be another node that is not running yet; declare it with absent: true",
+                faults,
+            );
             return None;
         }
         Some(ScenarioEvent::ReplaceHost { old, new })
--- a/crates/expectations/src/error.rs
+++ b/crates/expectations/src/error.rs
@@ -13,39 +13,39 @@
     #[error(transparent)]
     Formula(#[from] FormulaError),
     /// An unknown name that resembles a known one.
-    #[error("no {kind} {name:?}; did you mean {nearest}?")]
+    #[error("unknown {kind} {name:?}; did you mean {nearest}?")]
     MisspelledName {
         kind: &'static str,
         name: String,
         nearest: String,
     },
     /// An unknown name that resembles no known one.
-    #[error("no {kind} {name:?}; known: {}", known.join(", "))]
+    #[error("unknown {kind} {name:?}; known: {}", known.join(", "))]
     UnknownName {
         kind: &'static str,
         name: String,
         known: Vec<String>,
     },
     /// An empty list of times.
-    #[error("no time; write one, or a list")]
+    #[error("empty; write a time or a list of times")]
     EmptyTimes,
     /// An empty list of keywords.
-    #[error("none; write one, or a list")]
+    #[error("empty; write a keyword or a list of keywords")]
     EmptyKeywords,
     /// A slow counter whose factor is not a number or is out of range.
-    #[error("{factor:?} is not a multiple from 1 up")]
-    InvalidFactor { factor: String },
+    #[error("{factor:?} is not a factor from 1 to {max}")]
+    InvalidFactor { factor: String, max: f64 },
     /// Units of a request that are not positive or exceed the largest request of the settings.
-    #[error("{units} is not above 0 and up to {max} (familyInfo.unitsTop)")]
+    #[error("{units} units are not above 0 and at most {max} (familyInfo.unitsTop)")]
     UnitsOutOfRange { units: f64, max: f64 },
     /// A step's number of requests that is out of range.
-    #[error("{count} is not from 1 to {max}")]
+    #[error("{count} is not a number of requests from 1 to {max}")]
     CountOutOfRange { count: f64, max: usize },
     /// A mark that no request of the steps carries.
     #[error("no request is marked {name:?}")]
     UnknownMark { name: String },
     /// An event that `never` accepts but `always` does not.
-    #[error("cannot be required of every request; use never")]
+    #[error("the event cannot be required of every request; use never")]
     NotForEveryRequest,
 }
 
--- a/crates/expectations/src/suite.rs
+++ b/crates/expectations/src/suite.rs
@@ -70,7 +70,11 @@
         .map(|name| sibling(&name));
     let nodes = top.node("expectations").map(list).unwrap_or_default();
     if nodes.is_empty() {
-        top.fault("expectations", "none; write a list of them", faults);
+        top.fault(
+            "expectations",
+            "missing or empty; write a list of expectations",
+            faults,
+        );
     }
     top.end(faults);
     let installation = load(&installation?, read_file, faults)?;
@@ -92,7 +96,7 @@
         let expectation = read_expectation(file, &path, node, &mut found);
         let same_name = |other: &&Expectation| other.name == expectation.name;
         if let Some(other) = expectations.iter().find(same_name) {
-            let problem = format!("as on line {}", other.line);
+            let problem = format!("duplicate name; first used on line {}", other.line);
             found.add(file, node.place, format!("{path}.name"), problem);
         }
         if found.is_empty() {
@@ -114,10 +118,14 @@
     let when = map.node("when").unwrap_or(&empty).clone();
     let must = map.node("must").unwrap_or(&empty).clone();
     if list(&when).is_empty() {
-        map.fault("when", "nothing happens; write a list of steps", faults);
+        map.fault("when", "missing or empty; write a list of steps", faults);
     }
     if list(&must).is_empty() {
-        map.fault("must", "nothing must hold; write a list", faults);
+        map.fault(
+            "must",
+            "missing or empty; write a list of requirements",
+            faults,
+        );
     }
     map.node("why");
     map.end(faults);
--- a/tests/documentation/keys.rs
+++ b/tests/documentation/keys.rs
@@ -15,7 +15,7 @@
 const UNKNOWN_KEY: &str = "????";
 const KNOWN_KEYS: &str = "unknown key; known here: ";
 /// The problem of a map that lacks the key which states its kind ends with all such keys behind this.
-const KINDS: &str = "; one of ";
+const KINDS: &str = "; specify one of ";
 
 const PRODUCT: &str = "
 ????: 1
