--- a/crates/decision/src/quota/counts.rs
+++ b/crates/decision/src/quota/counts.rs
@@ -38,8 +38,8 @@
         self.total + self.pending + self.unsent
     }
 
-    /// Resets and returns the unsent amount, which the next call must include.
-    pub(super) fn take_unsent(&mut self) -> f64 {
+    /// Resets the unsent amount to zero and returns it. The next call must include the returned amount.
+    pub(super) fn reset_unsent(&mut self) -> f64 {
         std::mem::take(&mut self.unsent)
     }
 
