--- a/crates/invariants/src/checker.rs
+++ b/crates/invariants/src/checker.rs
@@ -12,10 +12,11 @@
 #[cfg(test)]
 mod tests;
 
-/// Nanoseconds in a millisecond, the unit of durations in descriptions.
+/// Nanoseconds per millisecond, the unit of durations in violation descriptions.
 const NANOS_PER_MILLISECOND: f64 = 1e6;
 
-/// Checks all invariants on the records of a run that has come to its end.
+/// Checks all invariants on the records of a complete run and returns the violations found, in the order of the records
+/// and with unanswered requests last.
 #[must_use]
 pub fn check(
     processes: &Processes,
@@ -37,7 +38,7 @@
     checker.violations
 }
 
-/// An attempt as it was sent.
+/// An attempt at the time when it was sent.
 #[derive(Clone, Copy)]
 struct SentAttempt {
     attempt: AttemptIndex,
@@ -45,7 +46,7 @@
     host: HostIndex,
 }
 
-/// The state of a request by the records so far.
+/// The state of a request according to the records observed so far.
 #[derive(Default)]
 struct RequestState {
     limiter: LimiterIndex,
@@ -53,17 +54,18 @@
     deadline: Nanos,
     is_received: bool,
     answers: u32,
-    /// Its client disconnected or its limiter died: no answer is pending.
+    /// Whether its client disconnected or its limiter died, so that no answer is required.
     is_released: bool,
     in_flight: BTreeSet<AttemptIndex>,
+    /// Attempts sent, without those that ended as [`Outcome::NeverSent`].
     attempts: u32,
-    /// The first attempt that may have been executed, as far as the limiter can know.
+    /// The first attempt that may have been executed, as far as the limiter can tell; `None` if there is none.
     first_possible_execution: Option<SentAttempt>,
     is_executed: bool,
 }
 
 impl RequestState {
-    fn has_pending_answer(&self) -> bool {
+    fn needs_answer(&self) -> bool {
         self.is_received && self.answers == 0 && !self.is_released
     }
 
@@ -81,14 +83,14 @@
     }
 }
 
-/// The hosts that a limiter was notified of.
+/// Identifies one limiter's view of a host.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct LimiterHost {
+struct HostView {
     limiter: LimiterIndex,
     host: HostIndex,
 }
 
-/// A host's state as a limiter knows it.
+/// The state of a host as last reported to a limiter, and since when.
 #[derive(Clone, Copy)]
 struct KnownState {
     state: HostState,
@@ -99,7 +101,7 @@
     processes: &'a Processes,
     limits: &'a InvariantLimits,
     requests: BTreeMap<RequestId, RequestState>,
-    known_hosts: BTreeMap<LimiterHost, KnownState>,
+    known_hosts: BTreeMap<HostView, KnownState>,
     violations: Vec<Violation>,
 }
 
@@ -193,9 +195,9 @@
         host: HostIndex,
         state: HostState,
     ) {
-        let key = LimiterHost { limiter, host };
+        let key = HostView { limiter, host };
         let known = self.known_hosts.get(&key).map(|known| known.state);
-        // A repeated notification of the same state starts no new grace period.
+        // A repeated notification of the same state does not restart the grace period.
         if known != Some(state) {
             self.known_hosts
                 .insert(key, KnownState { state, since: at });
@@ -210,7 +212,7 @@
         }
     }
 
-    /// Checks an attempt at the moment that it is sent.
+    /// Checks an attempt when it is sent.
     fn check_attempt(&mut self, limiter: LimiterIndex, request: RequestId, sent: SentAttempt) {
         self.check_drain(limiter, request, sent);
         let state = self.request(request);
@@ -239,9 +241,9 @@
         }
     }
 
-    /// Checks that the host of an attempt was not known to be draining or gone for longer than the grace period.
+    /// Checks that the limiter has not known the host to be draining or gone for longer than the grace period.
     fn check_drain(&mut self, limiter: LimiterIndex, request: RequestId, sent: SentAttempt) {
-        let key = LimiterHost {
+        let key = HostView {
             limiter,
             host: sent.host,
         };
@@ -259,7 +261,7 @@
         self.report(Invariant::Drains, sent.at, Some(request), description);
     }
 
-    /// Checks an attempt of a request that may have been executed before.
+    /// Checks an attempt of a request that an earlier attempt may have executed.
     fn check_repeat(
         &mut self,
         class: ClassIndex,
@@ -284,7 +286,7 @@
         self.report(Invariant::SafeRepeats, sent.at, Some(request), description);
     }
 
-    /// Whether two hosts recognise each other's idempotency keys.
+    /// Returns whether two hosts recognise each other's idempotency keys.
     fn shares_keys(&self, dedup_scope: DedupScope, first: HostIndex, second: HostIndex) -> bool {
         let first = self.processes.hosts.get(first.0);
         let second = self.processes.hosts.get(second.0);
@@ -295,7 +297,7 @@
         }
     }
 
-    /// Checks a final answer at the moment that its client gets it.
+    /// Checks a final answer when the client receives it.
     fn check_answer(&mut self, at: Nanos, request: RequestId, answer: Answer) {
         let state = self.request(request);
         state.answers += 1;
@@ -324,12 +326,12 @@
         }
     }
 
-    /// Reports the requests that are still without an answer at the end of the run.
+    /// Reports the requests that still need an answer at the end of the run.
     fn check_unanswered(&mut self, end: Nanos) {
         let unanswered: Vec<RequestId> = self
             .requests
             .iter()
-            .filter(|(_, state)| state.has_pending_answer())
+            .filter(|(_, state)| state.needs_answer())
             .map(|(request, _)| *request)
             .collect();
         for request in unanswered {
@@ -338,8 +340,8 @@
     }
 }
 
-/// Whether a client's retry may do harm after the request may have been executed. A rejection invites a retry with
-/// the same key, which may reach a host outside the deduplication scope of the key.
+/// Returns whether a client's retry is harmful if the request was already executed. A rejected client retries with the
+/// same idempotency key, and the retry may reach a host outside the deduplication scope of that key.
 fn is_retry_harmful(class: ClassLimits) -> bool {
     match class.effect {
         Effect::Idempotent => false,
--- a/crates/invariants/src/checker/tests.rs
+++ b/crates/invariants/src/checker/tests.rs
@@ -1,4 +1,4 @@
-//! Runs that violate an invariant, and runs that do not. Times are in milliseconds.
+//! Tests of the checker on runs that violate an invariant and on runs that do not. Times are in milliseconds.
 
 use super::*;
 use crate::process::{PartnerIndex, Process};
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn value_that_no_host_made_is_a_violation() {
+fn served_answer_without_an_execution_is_a_violation() {
     let run = [received(0, 900), answered(1, Answer::Served)];
     assert_eq!(
         violated(Effect::Idempotent, DedupScope::All, &run),
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn request_whose_client_has_left_needs_no_answer() {
+fn request_of_a_disconnected_client_needs_no_answer() {
     let left = record(5, Fact::ClientLeft { request: ID });
     assert_eq!(
         violated(
@@ -202,7 +202,7 @@
     );
 }
 
-/// A request whose first attempt may have run, and which is sent again at a time to a host.
+/// Records of a request whose first attempt may have been executed and which is then retried on a host.
 fn repeated(second_at: Nanos, host: usize) -> [Record; 6] {
     [
         received(0, 900),
@@ -215,7 +215,7 @@
 }
 
 #[test]
-fn unsafe_request_that_may_have_run_must_not_be_repeated() {
+fn unsafe_request_that_may_have_been_executed_must_not_be_repeated() {
     assert_eq!(
         violated(Effect::Unsafe, DedupScope::Cell, &repeated(3, 1)),
         [Invariant::SafeRepeats]
@@ -223,7 +223,7 @@
 }
 
 #[test]
-fn request_with_key_may_be_repeated_where_its_key_is_recognised() {
+fn request_with_key_may_be_repeated_within_its_scope_and_window() {
     let with_key = Effect::IdempotentWithKey;
     assert_eq!(violated(with_key, DedupScope::All, &repeated(3, 1)), []);
     assert_eq!(violated(with_key, DedupScope::Cell, &repeated(3, 0)), []);
@@ -249,7 +249,7 @@
     );
 }
 
-/// A request that is rejected although its attempt may have run.
+/// Records of a request that is rejected although its attempt may have been executed.
 fn rejected_after_possible_execution() -> [Record; 4] {
     [
         received(0, 900),
@@ -260,7 +260,7 @@
 }
 
 #[test]
-fn request_that_may_have_run_must_not_be_rejected_where_a_retry_may_leave_its_scope() {
+fn request_that_may_have_been_executed_must_not_be_rejected_if_a_retry_may_leave_its_scope() {
     let run = rejected_after_possible_execution();
     assert_eq!(
         violated(Effect::IdempotentWithKey, DedupScope::Cell, &run),
@@ -269,7 +269,7 @@
 }
 
 #[test]
-fn request_that_may_have_run_may_be_rejected_where_all_hosts_recognise_its_key() {
+fn request_that_may_have_been_executed_may_be_rejected_if_all_hosts_recognise_its_key() {
     let run = rejected_after_possible_execution();
     assert_eq!(
         violated(Effect::IdempotentWithKey, DedupScope::All, &run),
@@ -277,7 +277,7 @@
     );
 }
 
-/// A request that is sent to a host after its drain was announced twice, at 0 ms and at 900 ms.
+/// Records of a request that is sent to a host whose drain was announced twice, at 0 ms and at 900 ms.
 fn sent_to_draining_host(sent_at: Nanos) -> [Record; 6] {
     [
         draining(0),
@@ -296,7 +296,7 @@
 }
 
 #[test]
-fn repeated_announcement_of_a_drain_starts_no_new_grace_period() {
+fn repeated_announcement_of_a_drain_does_not_restart_the_grace_period() {
     let run = sent_to_draining_host(1_001);
     assert_eq!(
         violated(Effect::Idempotent, DedupScope::All, &run),
@@ -305,7 +305,7 @@
 }
 
 #[test]
-fn overload_of_a_host_that_warms_up_is_a_violation() {
+fn overload_of_a_host_that_is_warming_up_is_a_violation() {
     let overloaded = record(0, Fact::HostOverloaded { host: HostIndex(0) });
     assert_eq!(
         violated(Effect::Idempotent, DedupScope::All, &[overloaded]),
--- a/crates/invariants/src/invariant.rs
+++ b/crates/invariants/src/invariant.rs
@@ -1,28 +1,28 @@
-//! The invariants, their limits, and violations.
+//! The invariants of a run, the limits that they check against, and violations.
 
 use quartzcleat_decision::api::{
     Class, ClassIndex, DedupScope, Effect, Nanos, RequestId, Settings,
 };
 
-/// A statement that holds for every run with any configuration.
+/// A property that must hold for every run, whatever the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Invariant {
-    /// Each request received gets exactly one final answer, before its client gives up.
+    /// Each received request gets exactly one final answer before its deadline.
     OneAnswer,
-    /// At most one attempt of a request is in flight, and the number of attempts is capped.
+    /// At most one attempt of a request is in flight at a time, and the total number of attempts is capped.
     AttemptCap,
-    /// A request that may have been executed is sent again only as its class allows.
+    /// A request that may have been executed is retried only as its class allows.
     SafeRepeats,
-    /// No new request goes to a host that is draining or gone, once the grace period is over.
+    /// No attempt is sent to a host that has been known to be draining or gone for longer than the grace period.
     Drains,
-    /// No host that is warming up is sent more than it can do.
+    /// No host is sent more work than it can execute while it is warming up.
     SlowStart,
-    /// No client is served a value that no host made.
+    /// No request is answered as served unless a host executed it.
     Values,
 }
 
 impl Invariant {
-    /// The invariant's name in reports.
+    /// Returns the name of the invariant in reports.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -36,32 +36,32 @@
     }
 }
 
-/// An invariant that a run violated, when, and how.
+/// A violation of an invariant by a run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
-    /// The invariant.
+    /// The invariant that was violated.
     pub invariant: Invariant,
-    /// When it was violated.
+    /// When it was violated, in nanoseconds of the run's clock.
     pub at: Nanos,
-    /// The request, where one is concerned.
+    /// The request concerned; `None` if the violation concerns a host.
     pub request: Option<RequestId>,
-    /// The description of the violation for people.
+    /// Human-readable description of what happened.
     pub description: String,
 }
 
-/// How requests of a class may be repeated.
+/// Rules for repeating requests of a class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClassLimits {
-    /// Whether a second execution is harmless.
+    /// Whether a second execution is harmless, harmless with the same idempotency key, or harmful.
     pub effect: Effect,
-    /// The hosts that recognise each other's idempotency keys.
+    /// The set of hosts that recognise each other's idempotency keys.
     pub dedup_scope: DedupScope,
-    /// How long they remember a key.
+    /// How long hosts remember an idempotency key, in nanoseconds.
     pub dedup_window: Nanos,
 }
 
 impl ClassLimits {
-    /// For a class that is not configured: nothing may be repeated.
+    /// The strictest rules, used for a class that is not configured: no request may be repeated.
     pub const UNKNOWN_CLASS: ClassLimits = ClassLimits {
         effect: Effect::Unsafe,
         dedup_scope: DedupScope::Cell,
@@ -79,24 +79,24 @@
     }
 }
 
-/// The limits of the invariants. They are the platform's, not those of the settings under test: a
-/// configuration that grants too much must not loosen the invariant that it violates.
+/// The limits that the invariants check against. They come from the platform, not from the settings under test, so
+/// that a configuration that permits too much does not loosen the invariant that it violates.
 #[derive(Clone, Debug, PartialEq)]
 pub struct InvariantLimits {
-    /// How requests may be repeated, by class index.
+    /// Rules for repeating requests, by [`ClassIndex`].
     pub classes: Vec<ClassLimits>,
-    /// The most attempts of one request.
+    /// Maximum number of attempts of one request; at least 1.
     pub max_attempts: u32,
-    /// How long after a drain became known new requests may still reach the host.
+    /// How long a limiter may still send attempts to a host after learning of its drain, in nanoseconds.
     pub drain_grace: Nanos,
-    /// How long after its deadline an answer still counts as in time.
+    /// How long after the deadline an answer still counts as in time, in nanoseconds.
     pub answer_grace: Nanos,
-    /// Added to each time limit. On sockets the observer's times are not exact.
+    /// Tolerance in nanoseconds, added to each time limit, because timestamps taken on real sockets are not exact.
     pub time_tolerance: Nanos,
 }
 
 impl InvariantLimits {
-    /// The limits that settings state.
+    /// Takes the limits from `settings`, with a tolerance in nanoseconds for inexact timestamps.
     #[must_use]
     pub fn from_settings(settings: &Settings, time_tolerance: Nanos) -> Self {
         InvariantLimits {
@@ -108,7 +108,7 @@
         }
     }
 
-    /// How requests of a class may be repeated.
+    /// Returns the rules for repeating requests of a class; [`ClassLimits::UNKNOWN_CLASS`] if it is not configured.
     #[must_use]
     pub fn class(&self, class: ClassIndex) -> ClassLimits {
         self.classes
--- a/crates/invariants/src/lib.rs
+++ b/crates/invariants/src/lib.rs
@@ -1,8 +1,8 @@
 //! The records of a run of limiters, and the invariants that hold for every run.
 //!
-//! A record is a fact with its time, as an observer outside the limiters sees it: [`record`]. [`checker`] walks over
-//! the records of a run and names each violated [`invariant`]; [`timeline`] renders them for people. The crate knows
-//! neither the simulation nor the fakes on loopback, which both produce records.
+//! A [`record`] is a timestamped fact, as observed from outside the limiters. [`checker`] makes one pass over the
+//! records of a run and reports each violated [`invariant`]; [`timeline`] renders them as text. The crate depends
+//! neither on the simulation nor on the loopback fakes, which both produce records.
 
 pub mod checker;
 pub mod invariant;
--- a/crates/invariants/src/process.rs
+++ b/crates/invariants/src/process.rs
@@ -2,47 +2,48 @@
 
 use quartzcleat_decision::api::{CellId, ClassIndex, LimiterIndex, ZoneId};
 
-/// Position of a host in [`Processes::hosts`]. A decision engine knows the host by an identifier instead.
+/// Index of a host in [`Processes::hosts`]. Decision engines identify hosts by a `HostId` instead.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct HostIndex(pub usize);
 
-/// Position of a partner in [`Processes::partners`].
+/// Index of a partner in [`Processes::partners`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PartnerIndex(pub usize);
 
-/// A limiter or a host, and where it runs.
+/// A limiter or a host, and its location.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Process {
-    /// Its name.
+    /// The name in reports and timelines.
     pub name: String,
-    /// Its zone, by its position in [`Processes::zones`].
+    /// The zone, as an index into [`Processes::zones`].
     pub zone: ZoneId,
-    /// The cell of a host; unused for a limiter.
+    /// The cell of a host, which delimits [`DedupScope::Cell`](quartzcleat_decision::api::DedupScope::Cell); unused
+    /// for a limiter.
     pub cell: CellId,
 }
 
-/// The names behind the indices in records.
+/// The names of the limiters, hosts, partners and classes to which records refer by index.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Processes {
-    /// The zones.
+    /// Zone names, by [`ZoneId`].
     pub zones: Vec<String>,
-    /// The limiters.
+    /// Limiters, by [`LimiterIndex`].
     pub limiters: Vec<Process>,
-    /// The hosts.
+    /// Hosts, by [`HostIndex`].
     pub hosts: Vec<Process>,
-    /// The partners, whose requests share a quota.
+    /// Partner names, by [`PartnerIndex`]. All requests of a partner share one quota.
     pub partners: Vec<String>,
-    /// The request classes.
+    /// Names of the request classes, by [`ClassIndex`].
     pub classes: Vec<String>,
 }
 
 impl Processes {
-    /// The indices of all limiters.
+    /// Returns the indices of all limiters in ascending order.
     pub fn limiter_indices(&self) -> impl Iterator<Item = LimiterIndex> + use<> {
         (0..self.limiters.len()).map(LimiterIndex::from_usize)
     }
 
-    /// A limiter's name.
+    /// Returns the name of a limiter, or a generic term if the index is out of range.
     #[must_use]
     pub fn limiter(&self, index: LimiterIndex) -> &str {
         self.limiters
@@ -50,7 +51,7 @@
             .map_or("a limiter", |process| &process.name)
     }
 
-    /// A host's name.
+    /// Returns the name of a host, or a generic term if the index is out of range.
     #[must_use]
     pub fn host(&self, index: HostIndex) -> &str {
         self.hosts
@@ -58,7 +59,7 @@
             .map_or("a node", |process| &process.name)
     }
 
-    /// A class's name.
+    /// Returns the name of a class, or a generic term if the index is out of range.
     #[must_use]
     pub fn class(&self, index: ClassIndex) -> &str {
         self.classes
@@ -66,7 +67,7 @@
             .map_or("request", String::as_str)
     }
 
-    /// A partner's name.
+    /// Returns the name of a partner, or a generic term if the index is out of range.
     #[must_use]
     pub fn partner(&self, index: PartnerIndex) -> &str {
         self.partners
--- a/crates/invariants/src/record.rs
+++ b/crates/invariants/src/record.rs
@@ -1,125 +1,125 @@
-//! The records of a run: facts with their times, as an observer outside the limiters sees them.
+//! The records of a run: timestamped facts, as observed from outside the limiters.
 
 use crate::process::{HostIndex, PartnerIndex};
 use quartzcleat_decision::api::{
     AttemptIndex, ClassIndex, HostState, LimiterIndex, Nanos, Outcome, RequestId,
 };
 
-/// A final answer to a request.
+/// The final answer to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Answer {
-    /// The value that a host made for it.
+    /// The result that a host produced.
     Served,
-    /// A rejection, with `retry_after`; zero where it states no time.
+    /// A rejection with its `retry_after` in nanoseconds; 0 if the answer carries none.
     Rejected(Nanos),
-    /// A failure.
+    /// A failure, for example because no host answered before the deadline.
     Failed,
 }
 
 /// An observed event of a run.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fact {
-    /// A limiter has received a whole request.
+    /// A limiter received a complete request.
     RequestReceived {
-        /// The request: one attempt of a client at an operation.
+        /// The request. A client's retry of the same operation is a request of its own.
         request: RequestId,
-        /// The limiter.
+        /// The limiter that received it.
         limiter: LimiterIndex,
-        /// The operation that the client wants done. Its retries share it; in a class with idempotency keys it is
-        /// the key.
+        /// The operation that the client requests. A client's retries carry the same value; in a class with
+        /// idempotency keys it is the key.
         operation: u64,
-        /// The class.
+        /// The request class.
         class: ClassIndex,
-        /// The partner.
+        /// The partner whose quota is charged.
         partner: PartnerIndex,
-        /// The units that it takes of the partner's quota.
+        /// Units that the request takes from the partner's quota.
         units: f64,
-        /// When the client gives up.
+        /// When the client stops waiting, in nanoseconds of the run's clock.
         deadline: Nanos,
     },
     /// A limiter was notified of a host's state.
     HostStateLearned {
-        /// The limiter.
+        /// The limiter that was notified.
         limiter: LimiterIndex,
-        /// The host.
+        /// The host whose state was reported.
         host: HostIndex,
-        /// Its state from now on.
+        /// The reported state.
         state: HostState,
     },
-    /// An attempt left a limiter for a host.
+    /// A limiter sent an attempt to a host.
     AttemptSent {
-        /// The limiter.
+        /// The sender.
         limiter: LimiterIndex,
-        /// The request.
+        /// The request that the attempt belongs to.
         request: RequestId,
-        /// The attempt.
+        /// The attempt, counted from 0 within its request.
         attempt: AttemptIndex,
-        /// The host.
+        /// The host that the attempt was sent to.
         host: HostIndex,
-        /// Whether the host was warming up at that moment.
+        /// Whether the host was warming up when the attempt was sent.
         warming_up: bool,
     },
-    /// A host executed a request, or recognised it as a repeat.
+    /// A host executed a request or recognised it as a duplicate.
     Executed {
-        /// The host.
+        /// The host that handled it.
         host: HostIndex,
-        /// The request.
+        /// The request that the attempt belonged to.
         request: RequestId,
-        /// It was not executed again: the result of an earlier execution stands for it.
+        /// Whether the host returned the result of an earlier execution instead of executing the request again.
         deduplicated: bool,
     },
     /// An attempt is no longer in flight.
     AttemptEnded {
-        /// The request.
+        /// The request that the attempt belongs to.
         request: RequestId,
-        /// The attempt.
+        /// The attempt, counted from 0 within its request.
         attempt: AttemptIndex,
-        /// How it ended, as far as the limiter can know.
+        /// The outcome as the limiter sees it; a timeout leaves open whether the host executed the request.
         outcome: Outcome,
     },
-    /// A good answer stated a request's true units.
+    /// A successful response stated the actual units of a request.
     UnitsSettled {
-        /// The request.
+        /// The request that was answered.
         request: RequestId,
-        /// The units.
+        /// Units that the request actually used.
         units: f64,
     },
-    /// A client got its answer.
+    /// A client received the final answer to its request.
     Answered {
-        /// The request.
+        /// The request that was answered.
         request: RequestId,
-        /// The answer.
+        /// The answer that the client received.
         answer: Answer,
     },
-    /// A client disconnected; no answer is pending for it.
+    /// A client disconnected, so its request needs no answer.
     ClientLeft {
-        /// The request.
+        /// The request of the disconnected client.
         request: RequestId,
     },
-    /// A host's process has just started and is warming up.
+    /// A host's process started and began to warm up.
     HostStarted {
-        /// The host.
+        /// The host that started.
         host: HostIndex,
     },
-    /// A host that was warming up crashed, because it was sent more work than it can do in that state.
+    /// A host crashed because it received more work than it can execute while warming up.
     HostOverloaded {
-        /// The host.
+        /// The host that crashed.
         host: HostIndex,
     },
-    /// A limiter died; its pending responses are void.
+    /// A limiter's process died, so its open requests need no answer.
     LimiterDied {
-        /// The limiter.
+        /// The limiter that died.
         limiter: LimiterIndex,
     },
-    /// Something of the environment, for readers only.
+    /// A remark for the timeline, such as a change in the environment. The checker ignores it.
     Note(String),
 }
 
-/// A fact and its time.
+/// A timestamped fact.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Record {
-    /// When, in nanoseconds of the run's clock.
+    /// When the fact was observed, in nanoseconds of the run's clock.
     pub at: Nanos,
-    /// The observed event.
+    /// The fact that was observed.
     pub fact: Fact,
 }
--- a/crates/invariants/src/timeline.rs
+++ b/crates/invariants/src/timeline.rs
@@ -1,14 +1,14 @@
-//! Records as a timeline that a person can read: one line for each fact, with times from the beginning of the run.
+//! Renders records as a human-readable timeline: one line per fact, with times relative to the start of the run.
 
 use crate::process::Processes;
 use crate::record::{Answer, Fact, Record};
 use quartzcleat_decision::api::{HostState, Nanos, Outcome, RequestId};
 use std::collections::BTreeMap;
 
-/// Nanoseconds in a millisecond, the unit of the times in a timeline.
+/// Nanoseconds per millisecond, the unit of the times in a timeline.
 const NANOS_PER_MILLISECOND: f64 = 1e6;
 
-/// The lines of a timeline. Requests are numbered in the order in which they were received: `request 1`, `request 2`.
+/// Renders records as the lines of a timeline. Requests are numbered from 1 in the order in which they were received.
 #[must_use]
 pub fn render(processes: &Processes, records: &[Record]) -> Vec<String> {
     let start = records.iter().map(|record| record.at).min().unwrap_or(0);
@@ -19,8 +19,8 @@
     records
         .iter()
         .map(|record| {
-            let time = milliseconds(record.at - start);
-            format!("{time:>12}  {}", renderer.fact(&record.fact))
+            let time = format_milliseconds(record.at - start);
+            format!("{time:>12}  {}", renderer.render_fact(&record.fact))
         })
         .collect()
 }
@@ -42,7 +42,7 @@
 }
 
 impl Renderer<'_> {
-    fn fact(&self, fact: &Fact) -> String {
+    fn render_fact(&self, fact: &Fact) -> String {
         let processes = self.processes;
         match fact {
             Fact::RequestReceived { request, .. }
@@ -50,8 +50,12 @@
             | Fact::AttemptEnded { request, .. }
             | Fact::UnitsSettled { request, .. }
             | Fact::Answered { request, .. }
-            | Fact::ClientLeft { request } => self.request_fact(&self.request(*request), fact),
-            Fact::AttemptSent { .. } | Fact::HostStateLearned { .. } => self.limiter_fact(fact),
+            | Fact::ClientLeft { request } => {
+                self.render_request_fact(&self.request_label(*request), fact)
+            }
+            Fact::AttemptSent { .. } | Fact::HostStateLearned { .. } => {
+                self.render_limiter_fact(fact)
+            }
             Fact::HostStarted { host } => {
                 format!("{} starts and is warming up", processes.host(*host))
             }
@@ -64,8 +68,8 @@
         }
     }
 
-    /// A fact whose subject is a request, or a host or client that deals with it.
-    fn request_fact(&self, request: &str, fact: &Fact) -> String {
+    /// Renders a fact about a request; empty for any other fact.
+    fn render_request_fact(&self, request: &str, fact: &Fact) -> String {
         match fact {
             Fact::RequestReceived {
                 limiter,
@@ -103,8 +107,8 @@
         }
     }
 
-    /// A fact whose subject is a limiter.
-    fn limiter_fact(&self, fact: &Fact) -> String {
+    /// Renders a fact about an action or observation of a limiter; empty for any other fact.
+    fn render_limiter_fact(&self, fact: &Fact) -> String {
         match fact {
             Fact::HostStateLearned {
                 limiter,
@@ -125,7 +129,7 @@
             } => format!(
                 "{} sends {} to {}{} (attempt {})",
                 self.processes.limiter(*limiter),
-                self.request(*request),
+                self.request_label(*request),
                 self.processes.host(*host),
                 if *warming_up {
                     ", which is warming up"
@@ -138,7 +142,7 @@
         }
     }
 
-    fn request(&self, request: RequestId) -> String {
+    fn request_label(&self, request: RequestId) -> String {
         match self.request_numbers.get(&request) {
             Some(number) => format!("request {number}"),
             None => "a request".to_owned(),
@@ -146,7 +150,7 @@
     }
 }
 
-fn milliseconds(nanos: Nanos) -> String {
+fn format_milliseconds(nanos: Nanos) -> String {
     format!("{:.3} ms", nanos as f64 / NANOS_PER_MILLISECOND)
 }
 
@@ -163,7 +167,10 @@
         Answer::Served => "served".to_owned(),
         Answer::Rejected(0) => "rejected".to_owned(),
         Answer::Rejected(retry_after) => {
-            format!("rejected, with retry_after {}", milliseconds(retry_after))
+            format!(
+                "rejected, with retry_after {}",
+                format_milliseconds(retry_after)
+            )
         }
         Answer::Failed => "failed".to_owned(),
     }
