--- a/crates/simulation/src/counter.rs
+++ b/crates/simulation/src/counter.rs
@@ -1,4 +1,4 @@
-//! The counter: totals by name that expire, and shards that execute calls one after another.
+//! The simulated counter: named totals that expire, and shards that execute calls one after another.
 
 use crate::scenario::{CounterMode, CounterSetup};
 use quartzcleat_decision::api::{Nanos, Outcome};
@@ -8,9 +8,9 @@
 #[cfg(test)]
 mod tests;
 
-/// The longest lifetime of a total.
+/// Maximum lifetime of a total: 60 s.
 const MAX_LIFETIME: Nanos = 60_000_000_000;
-/// The shortest lifetime of a total.
+/// Minimum lifetime of a total: 1 ms.
 const MIN_LIFETIME: Nanos = 1_000_000;
 
 #[derive(Clone, Debug)]
@@ -19,28 +19,28 @@
     expires_at: Nanos,
 }
 
-/// The result of a call.
+/// The result of a call to the counter.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CounterReply {
     /// How the call ended.
     pub outcome: Outcome,
-    /// The new total where it ended well, otherwise 0.
+    /// The new total if the call succeeded, otherwise 0.
     pub total: f64,
 }
 
-/// The counter's state.
+/// The state of the simulated counter.
 #[derive(Clone, Debug)]
 pub struct Counter {
-    /// Whether and how calls are executed.
+    /// How the counter currently handles calls.
     pub mode: CounterMode,
     call_duration: Nanos,
-    /// When each shard has executed all calls of its queue.
+    /// When each shard will have executed all calls in its queue.
     shards_idle_at: Vec<Nanos>,
     totals: BTreeMap<String, Total>,
 }
 
 impl Counter {
-    /// A counter without totals.
+    /// Creates a counter without totals.
     #[must_use]
     pub fn new(setup: &CounterSetup) -> Self {
         Counter {
@@ -51,12 +51,12 @@
         }
     }
 
-    /// Forgets all totals.
+    /// Deletes all totals.
     pub fn clear(&mut self) {
         self.totals.clear();
     }
 
-    /// Queues a call that arrives now. Returns when its shard has executed it, or `None` where it never does.
+    /// Queues a call that arrives now. Returns when its shard will have executed it; `None` if the counter is silent.
     pub fn enqueue(&mut self, name: &str, now: Nanos) -> Option<Nanos> {
         let factor = match self.mode {
             CounterMode::Silent => return None,
@@ -73,7 +73,7 @@
         Some(done)
     }
 
-    /// Executes a call: adds an amount to a total, which is created with this lifetime where it does not exist.
+    /// Adds `amount` to a total, which is created with `lifetime` (in nanoseconds) if it does not exist.
     pub fn execute(
         &mut self,
         name: &str,
--- a/crates/simulation/src/counter/tests.rs
+++ b/crates/simulation/src/counter/tests.rs
@@ -1,9 +1,9 @@
-//! Totals that expire, and the queues of shards.
+//! Tests of the expiry of totals and the queues of shards.
 
 use super::*;
 
 const MILLISECOND: Nanos = 1_000_000;
-/// How long the counter takes for a call.
+/// Default execution time of a call.
 const CALL_DURATION: Nanos = 1_200_000;
 
 fn total(total: f64) -> CounterReply {
--- a/crates/simulation/src/event_queue.rs
+++ b/crates/simulation/src/event_queue.rs
@@ -1,4 +1,4 @@
-//! The events of a run that are still to come, in the order of their times.
+//! The queue of a run's pending events, ordered by time.
 
 use crate::host::AttemptKey;
 use crate::scenario::{AttemptOutcome, ClientRequest};
@@ -9,27 +9,29 @@
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
-/// One incarnation of a limiter. Events that were meant for an earlier incarnation are void.
+/// An incarnation of a limiter: its process between a start and the next crash. Events addressed to an earlier
+/// incarnation are ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct LimiterIncarnation {
     pub(crate) limiter: LimiterIndex,
     pub(crate) incarnation: u32,
 }
 
-/// A call of a limiter to the counter.
+/// A call of a limiter to the counter: adds `amount` to the total `name`.
 #[derive(Clone, Debug)]
 pub(crate) struct CounterCall {
     pub(crate) caller: LimiterIncarnation,
     pub(crate) number: u64,
     pub(crate) name: String,
     pub(crate) amount: f64,
+    /// Lifetime of the total if the call creates it.
     pub(crate) keep_for: Nanos,
 }
 
 /// An event of the simulation.
 #[derive(Clone, Debug)]
 pub(crate) enum Event {
-    /// A step of the scenario, by its index.
+    /// A step of the scenario happens, given by its index.
     Step(usize),
     /// A client's request reaches a limiter.
     ClientRequest(ClientRequest),
@@ -44,7 +46,7 @@
         limiter: LimiterIncarnation,
         timer: Timer,
     },
-    /// The last moment at which a limiter answers a request in time.
+    /// A limiter fails a request that is still unanswered shortly before its deadline.
     AnswerDue {
         limiter: LimiterIncarnation,
         request: RequestId,
@@ -55,7 +57,7 @@
         host: HostIndex,
         outcome: AttemptOutcome,
     },
-    /// A host has finished a job. The start time of its process shows whether it is still the same one.
+    /// A host finishes a job. The event is ignored if the host's process no longer has this start time.
     JobFinished {
         #[expect(dead_code, reason = "distinguishes states in the fingerprint")]
         attempt: AttemptKey,
@@ -80,7 +82,7 @@
     },
 }
 
-/// An event and its time. Events of the same time keep the order in which they were scheduled.
+/// A scheduled event. Events with the same time keep the order in which they were scheduled.
 #[derive(Clone, Debug)]
 pub(crate) struct ScheduledEvent {
     pub(crate) at: Nanos,
@@ -110,7 +112,7 @@
     }
 }
 
-/// The events to come.
+/// The pending events of a run.
 #[derive(Debug, Default)]
 pub(crate) struct EventQueue {
     heap: BinaryHeap<Reverse<ScheduledEvent>>,
@@ -131,12 +133,12 @@
         self.heap.pop().map(|Reverse(scheduled)| scheduled)
     }
 
-    /// The events in no particular order.
+    /// Returns the pending events in no particular order.
     pub(crate) fn events(&self) -> impl Iterator<Item = &Event> {
         self.heap.iter().map(|Reverse(scheduled)| &scheduled.event)
     }
 
-    /// The events in the order in which they will come.
+    /// Returns the pending events in the order in which they will be handled.
     pub(crate) fn in_order(&self) -> Vec<&ScheduledEvent> {
         let mut scheduled: Vec<_> = self.heap.iter().map(|Reverse(event)| event).collect();
         scheduled.sort_unstable();
--- a/crates/simulation/src/fingerprint.rs
+++ b/crates/simulation/src/fingerprint.rs
@@ -1,5 +1,5 @@
-//! A fingerprint of the state of a run. Two runs with equal fingerprints continue in the same way, so that a search
-//! visits the state once.
+//! Fingerprints of the state of a run. Runs with equal fingerprints continue in the same way, so a search needs to
+//! visit each fingerprint only once.
 
 use crate::counter::Counter;
 use crate::event_queue::EventQueue;
@@ -11,7 +11,7 @@
 use std::fmt::{self, Write as _};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// A hash over the facts of a run so far, without their times.
+/// A running hash over the facts of a run, without their times.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct HistoryHash(DefaultHasher);
 
@@ -29,11 +29,11 @@
     }
 }
 
-/// The parts of a run on which its future depends.
+/// The parts of a run that determine how it continues.
 pub(crate) struct RunState<'a> {
     pub(crate) history: &'a HistoryHash,
     pub(crate) now: Nanos,
-    /// Choices since the last event, which the other parts may not show yet.
+    /// Choices made since the current event began; the other parts may not reflect them yet.
     pub(crate) choices: &'a [usize],
     pub(crate) limiters: &'a [Limiter],
     pub(crate) hosts: &'a [Host],
@@ -43,7 +43,7 @@
 }
 
 impl RunState<'_> {
-    /// The fingerprint. It formats the whole state and takes time accordingly.
+    /// Computes the fingerprint. This is expensive, because it formats the whole state.
     pub(crate) fn fingerprint(&self) -> u64 {
         let mut hash = self.history.clone();
         // Writing to a hasher cannot fail.
--- a/crates/simulation/src/host.rs
+++ b/crates/simulation/src/host.rs
@@ -1,4 +1,4 @@
-//! A host: its cores, its queue, its slow start, and the end of its process.
+//! A simulated host: its cores, queue, slow start and process lifecycle.
 
 use crate::scenario::HostSetup;
 use quartzcleat_decision::api::{
@@ -9,67 +9,68 @@
 #[cfg(test)]
 mod tests;
 
-/// Nanoseconds in a second, the unit of work in the overload check.
+/// Nanoseconds per second, the unit of work in the overload check.
 const NANOS_PER_SECOND: f64 = 1e9;
-/// The lowest effective speed of a core, so that every job ends.
+/// Lower bound of the relative speed of a core, which keeps execution times finite.
 pub(crate) const MIN_SPEED: f64 = 1e-3;
 
-/// The identity of an attempt at a host.
+/// Identifies an attempt among those of all limiters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct AttemptKey {
-    /// The limiter that sent it.
+    /// The limiter that sent the attempt.
     pub limiter: LimiterIndex,
-    /// The request.
+    /// The request that the attempt belongs to.
     pub request: RequestId,
-    /// The attempt.
+    /// The attempt, counted from 0 within its request.
     pub attempt: AttemptIndex,
 }
 
-/// Whether a host's process runs.
+/// The status of a host's process and machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HostStatus {
-    /// It runs.
+    /// The process is running.
     Running,
-    /// Its process is dead: connections are refused.
+    /// The process is dead; connections are refused.
     Dead,
-    /// Its machine is unreachable: nothing comes back.
+    /// The machine is unreachable; nothing comes back.
     Unreachable,
 }
 
 /// The result of the arrival of an attempt at a host.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Arrival {
-    /// Its execution starts.
+    /// The execution starts.
     Started,
-    /// It waits in the queue.
+    /// The attempt waits in the queue.
     Queued,
-    /// It is rejected.
+    /// The host rejects the attempt.
     Rejected,
-    /// Its connection is refused.
+    /// The connection is refused, because the process is dead.
     ConnectionRefused,
-    /// It is lost.
+    /// The attempt is lost, because the machine is unreachable.
     Lost,
-    /// It overloads the host, which is warming up.
+    /// The attempt overloads the host, which is still warming up.
     Overloads,
 }
 
-/// Work that reached a host while it was warming up.
+/// Work received by a host while it was warming up.
 #[derive(Clone, Copy, Debug)]
 struct RecentWork {
     at: Nanos,
+    /// Execution time on one core of the host when warm, in seconds.
     seconds: f64,
 }
 
-/// A host's state.
+/// The state of a simulated host.
 #[derive(Clone, Debug)]
 pub struct Host {
-    /// Whether it runs.
+    /// Whether the process is running, dead or unreachable.
     pub status: HostStatus,
-    /// It finishes the jobs that it has and rejects new ones.
+    /// Whether the host is draining: it finishes its jobs and rejects new ones.
     pub draining: bool,
-    /// When the process started; zero where it has long been warm.
+    /// When the process started, in nanoseconds of virtual time; 0 if it warmed up long ago.
     pub started: Nanos,
-    /// The relative speed of a core.
+    /// Relative speed of a core; work is stated for speed 1.
     pub speed: f64,
     cores: u32,
     queue_capacity: usize,
@@ -79,7 +80,7 @@
 }
 
 impl Host {
-    /// A host at the start of a run.
+    /// Creates a host as it is at the start of a run.
     #[must_use]
     pub fn new(setup: &HostSetup, start: Nanos) -> Self {
         Host {
@@ -101,7 +102,7 @@
         }
     }
 
-    /// The part of its capacity that the host has: 1 once it is warm.
+    /// Returns the fraction of its full capacity that the host has: 1 once it is warm.
     #[must_use]
     pub fn capacity_factor(&self, settings: &Settings, now: Nanos) -> f64 {
         let age = now.saturating_sub(self.started);
@@ -116,14 +117,14 @@
                 / settings.slow_start.duration as f64
     }
 
-    /// How long the execution of a job with this work takes.
+    /// Returns how long the execution of a job with this work takes, in nanoseconds.
     #[must_use]
     pub fn execution_time(&self, work: Nanos, settings: &Settings, now: Nanos) -> Nanos {
         let speed = self.speed * self.capacity_factor(settings, now);
         (work as f64 / speed.max(MIN_SPEED)) as Nanos
     }
 
-    /// Receives an attempt with this work.
+    /// Receives an attempt whose work is stated in nanoseconds on a core of speed 1.
     pub fn receive(
         &mut self,
         attempt: AttemptKey,
@@ -153,7 +154,7 @@
         }
     }
 
-    /// Whether the work that reached the host lately, with this one, is more than it survives while it warms up.
+    /// Adds this work to the recent work and returns whether the sum overloads the host while it is warming up.
     fn is_overloaded_by(&mut self, work: Nanos, settings: &Settings, now: Nanos) -> bool {
         let capacity_factor = self.capacity_factor(settings, now);
         let can_overload = capacity_factor < 1.0
@@ -179,7 +180,7 @@
         received > settings.slow_start.overload_factor * capacity
     }
 
-    /// Ends a job. Returns the queued attempt whose execution starts in its place.
+    /// Finishes a job. Returns the queued attempt that takes over its core; `None` if the queue is empty.
     pub fn finish_job(&mut self) -> Option<AttemptKey> {
         if self.status != HostStatus::Running {
             return None;
@@ -191,12 +192,12 @@
         next
     }
 
-    /// Takes an attempt out of the queue; one that is being executed goes on.
+    /// Removes an attempt from the queue; an attempt that is already executing continues.
     pub fn cancel(&mut self, attempt: AttemptKey) {
         self.queue.retain(|queued| *queued != attempt);
     }
 
-    /// Ends the process, with all its jobs.
+    /// Stops the process and drops all its jobs.
     pub fn stop(&mut self, status: HostStatus) {
         self.status = status;
         self.running = 0;
@@ -204,7 +205,7 @@
         self.recent_work.clear();
     }
 
-    /// Starts a new process, which warms up.
+    /// Starts a new process, which begins to warm up.
     pub fn start(&mut self, now: Nanos) {
         self.stop(HostStatus::Running);
         self.started = now;
--- a/crates/simulation/src/host/tests.rs
+++ b/crates/simulation/src/host/tests.rs
@@ -1,4 +1,4 @@
-//! Arrivals, queues and the overload of hosts that warm up.
+//! Tests of arrivals, queues and the overload of hosts that are warming up.
 
 use super::*;
 use quartzcleat_decision::api::SlowStartSettings;
@@ -25,7 +25,7 @@
     }
 }
 
-/// A host with one core and one place in its queue.
+/// Returns a host with one core and a queue of capacity 1.
 fn small_host() -> Host {
     let setup = HostSetup {
         cores: 1,
@@ -35,7 +35,7 @@
     Host::new(&setup, MILLISECOND)
 }
 
-/// The results of a number of attempts that arrive at once.
+/// Sends `attempts` attempts to a host at the same time and returns the results of their arrivals.
 fn arrivals(host: &mut Host, attempts: u64, now: Nanos) -> Vec<Arrival> {
     (0..attempts)
         .map(|number| host.receive(attempt(number), 100 * MILLISECOND, &settings(), now))
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn attempts_take_cores_then_the_queue_then_are_rejected() {
+fn attempts_fill_the_cores_then_the_queue_then_are_rejected() {
     assert_eq!(
         arrivals(&mut small_host(), 3, MILLISECOND),
         [Arrival::Started, Arrival::Queued, Arrival::Rejected]
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn finished_job_gives_its_core_to_the_queued_attempt() {
+fn queued_attempt_takes_the_core_of_a_finished_job() {
     let mut host = small_host();
     arrivals(&mut host, 3, MILLISECOND);
     assert_eq!(host.finish_job(), Some(attempt(1)));
@@ -68,7 +68,7 @@
     );
 }
 
-/// A host that has just started.
+/// Returns a host that has just started.
 fn starting_host() -> Host {
     let setup = HostSetup {
         uptime: Some(0),
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn host_that_warms_up_is_slow() {
+fn host_that_is_warming_up_is_slow() {
     let work = 150 * MILLISECOND;
     assert_eq!(
         starting_host().execution_time(work, &settings(), MILLISECOND),
@@ -86,9 +86,10 @@
     );
 }
 
-/// It can do 3 x 0.15 x 1.5 s = 0.675 s of work in the time, and is overloaded past three times that.
+/// The capacity within the overload duration is 3 cores x 0.15 x 1.5 s = 0.675 s of work. The host is overloaded by
+/// more than three times that, which the 21st attempt of 0.1 s exceeds.
 #[test]
-fn host_that_warms_up_can_be_overloaded() {
+fn host_that_is_warming_up_can_be_overloaded() {
     let overload = arrivals(&mut starting_host(), 25, MILLISECOND)
         .iter()
         .position(|arrival| *arrival == Arrival::Overloads);
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,11 +1,11 @@
-//! A deterministic model of what the limiters balance, in virtual time: limiters that run the real decision engine,
-//! one counter, discovery, hosts, zones and clients. It uses no clock, no sockets and only seeded randomness.
+//! A deterministic simulation in virtual time of limiters that run the real decision engine, one counter, discovery,
+//! hosts, zones and clients. It uses no clock, no sockets and only seeded randomness.
 //!
-//! A [`Scenario`] says which processes there are and what happens; [`simulate`] runs it once and returns the records.
-//! Where the scenario leaves something open, an [`Oracle`] chooses, so that a search can try every way.
+//! A [`Scenario`] defines the processes and the events; [`simulate`] runs it once and returns the records. Where the
+//! scenario lists several options, an [`Oracle`] chooses one, so that a search can explore all of them.
 //!
 //! Not modelled: connections and their cost (an attempt reaches its host after one delay), bandwidth, the limiter's
-//! own CPU time and memory, health checks and load reports, streams, peers, and clients that follow anything but the
+//! own CPU time and memory, health checks and load reports, streams, peers, and client behaviour beyond the
 //! scenario. Timers and events reach the decision engine without delay.
 
 pub mod counter;
--- a/crates/simulation/src/limiter.rs
+++ b/crates/simulation/src/limiter.rs
@@ -1,5 +1,5 @@
-//! A limiter: the real decision engine, and the state that the program on sockets keeps beside it: open requests,
-//! attempts in flight, and the order of the counter's answers.
+//! A simulated limiter: the real decision engine, and the state that the network layer keeps for it in production:
+//! open requests, attempts in flight, and the order of the counter's replies.
 
 use crate::counter::CounterReply;
 use quartzcleat_decision::api::{AttemptIndex, ClassIndex, Event, Nanos, RequestId, Settings};
@@ -10,16 +10,17 @@
 #[cfg(test)]
 mod tests;
 
-/// A request that has no answer yet.
+/// A request that has not been answered yet.
 #[derive(Clone, Debug)]
 pub(crate) struct OpenRequest {
     pub(crate) class: ClassIndex,
     pub(crate) operation: u64,
     pub(crate) deadline: Nanos,
+    /// Attempts ordered so far, including those that were not allowed.
     pub(crate) attempts: u32,
 }
 
-/// One attempt of a request.
+/// Identifies an attempt within its limiter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct AttemptId {
     pub(crate) request: RequestId,
@@ -39,11 +40,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct StartedAttempt {
     pub(crate) attempt: AttemptIndex,
-    /// When the request's client gives up.
+    /// When the client of the request stops waiting.
     pub(crate) deadline: Nanos,
 }
 
-/// An attempt that must not be sent, because its request is closed, late or has used up its attempts.
+/// Error for an attempt that must not be sent, because its request is closed, past its deadline or out of attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct AttemptNotAllowed {
     pub(crate) attempt: AttemptIndex,
@@ -87,12 +88,12 @@
         }
     }
 
-    /// Whether it runs and has a request or an attempt that has not ended.
+    /// Returns whether the limiter is up and has an open request or an attempt in flight.
     pub(crate) fn has_work(&self) -> bool {
         self.is_up && !(self.open_requests.is_empty() && self.in_flight.is_empty())
     }
 
-    /// Registers a call to the counter and returns its number.
+    /// Registers a call to the counter and returns its number, counted from 1.
     pub(crate) fn start_call(&mut self, name: &str, now: Nanos) -> u64 {
         self.last_call += 1;
         self.pending_calls.push_back(PendingCall {
@@ -104,7 +105,8 @@
         self.last_call
     }
 
-    /// Ends a call. Returns the answers that the engine may receive now, in the order of the calls.
+    /// Records the end of a call. Returns the replies that are due to the engine, which receives them in the order of
+    /// the calls.
     pub(crate) fn end_call(&mut self, number: u64, reply: CounterReply, now: Nanos) -> Vec<Event> {
         let call = self
             .pending_calls
@@ -128,7 +130,7 @@
         events
     }
 
-    /// Starts an attempt of a request.
+    /// Registers a new attempt of a request. Attempts that are not allowed count towards `max_attempts` too.
     pub(crate) fn start_attempt(
         &mut self,
         request: RequestId,
@@ -158,7 +160,7 @@
         Ok(StartedAttempt { attempt, deadline })
     }
 
-    /// An attempt that has not ended.
+    /// Returns an attempt in flight; `None` if it is unknown or has ended.
     pub(crate) fn attempt(
         &self,
         request: RequestId,
--- a/crates/simulation/src/limiter/tests.rs
+++ b/crates/simulation/src/limiter/tests.rs
@@ -1,4 +1,4 @@
-//! Attempts and counter calls of a limiter.
+//! Tests of a limiter's attempts and counter calls.
 
 use super::*;
 use quartzcleat_decision::api::Outcome;
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn counter_answers_arrive_in_the_order_of_the_calls() {
+fn counter_replies_are_delivered_in_the_order_of_the_calls() {
     let mut limiter = Limiter::new(Settings::default(), 1, 0, 0);
     let first = limiter.start_call("a", 0);
     let second = limiter.start_call("b", 1);
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn no_attempt_starts_at_the_deadline_but_it_counts() {
+fn attempt_at_the_deadline_is_not_sent_but_counted() {
     let mut limiter = limiter_with_request();
     assert_eq!(start_attempt(&mut limiter, REQUEST, 5), Ok(AttemptIndex(0)));
     assert_eq!(
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn unknown_request_has_no_attempt() {
+fn attempt_of_an_unknown_request_is_not_allowed() {
     let mut limiter = limiter_with_request();
     assert_eq!(start_attempt(&mut limiter, RequestId(2), 5), not_allowed(0));
 }
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -1,4 +1,4 @@
-//! Delays of the network and the random variation of delays and work.
+//! Network delays, and the random variation of delays and work.
 
 use crate::scenario::NetworkDelays;
 use quartzcleat_decision::api::{Nanos, ZoneId};
@@ -6,7 +6,7 @@
 use rand_distr::{Distribution, LogNormal};
 use rand_pcg::Pcg64Mcg;
 
-/// Random factors about 1, with a log-normal distribution of mean 1.
+/// Random variation of durations by factors from a log-normal distribution with mean 1.
 #[derive(Debug)]
 pub(crate) struct Variation {
     generator: Pcg64Mcg,
@@ -14,7 +14,7 @@
 }
 
 impl Variation {
-    /// Variation with this standard deviation of the factors' logarithm; none where it is 0.
+    /// Creates a variation with this standard deviation of the factors' logarithm; 0 disables the variation.
     pub(crate) fn new(seed: u64, log_deviation: f64) -> Self {
         let distribution = LogNormal::new(-log_deviation * log_deviation / 2.0, log_deviation)
             .ok()
@@ -25,7 +25,7 @@
         }
     }
 
-    /// A duration about this mean.
+    /// Returns a random duration with this mean, in nanoseconds.
     pub(crate) fn vary(&mut self, mean: Nanos) -> Nanos {
         let factor = self
             .distribution
@@ -34,7 +34,7 @@
     }
 }
 
-/// The network between the processes.
+/// The network that connects the processes.
 #[derive(Debug)]
 pub(crate) struct Network {
     delays: NetworkDelays,
@@ -45,7 +45,7 @@
         Network { delays }
     }
 
-    /// A one-way delay between processes in two zones.
+    /// Returns a one-way delay between processes in two zones, in nanoseconds.
     pub(crate) fn delay_between(
         &self,
         from: ZoneId,
@@ -60,7 +60,7 @@
         variation.vary(mean)
     }
 
-    /// A one-way delay to or from the counter.
+    /// Returns a one-way delay to or from the counter, in nanoseconds.
     pub(crate) fn delay_to_counter(&self, variation: &mut Variation) -> Nanos {
         variation.vary(self.delays.counter)
     }
--- a/crates/simulation/src/oracle.rs
+++ b/crates/simulation/src/oracle.rs
@@ -1,15 +1,15 @@
-//! An oracle chooses where a scenario leaves something open.
+//! Oracles, which choose among the options that a scenario lists.
 
-/// A point of a scenario that a choice decides.
+/// The kind of a choice that a scenario leaves open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum ChoicePoint {
     /// The seed of the limiters.
     Seed,
     /// The offset of the run's start within the windows of the quotas.
     StartOffset,
-    /// The moment at which a step happens.
+    /// The time at which a step happens.
     Moment,
-    /// Which of some steps takes the next moment.
+    /// Which step of a reorder group takes the group's next time.
     Order,
     /// How long discovery takes to notify a limiter.
     DiscoveryDelay,
@@ -19,10 +19,10 @@
     CounterCall,
 }
 
-/// Chooses where a scenario leaves something open.
+/// Chooses among the options that a scenario lists.
 pub trait Oracle {
-    /// The index of one of the options, of which there are two at least; `None` stops the run. `fingerprint`
-    /// identifies the state of the run, for searches that visit equal states once; calling it takes time.
+    /// Returns the index of the chosen option, out of at least two `options`, or `None` to stop the run. `fingerprint`
+    /// identifies the state of the run for searches that visit equal states only once; calling it is expensive.
     fn choose(
         &mut self,
         point: ChoicePoint,
@@ -31,7 +31,7 @@
     ) -> Option<usize>;
 }
 
-/// Always takes the first option.
+/// An oracle that always takes the first option.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FirstOption;
 
@@ -41,7 +41,7 @@
     }
 }
 
-/// Follows a path of choices, then takes the first option.
+/// An oracle that follows a path of choices and then takes the first option.
 #[derive(Clone, Debug, Default)]
 pub struct ChoicePath {
     choices: Vec<usize>,
@@ -49,7 +49,7 @@
 }
 
 impl ChoicePath {
-    /// An oracle that follows these choices.
+    /// Creates an oracle that follows these choices, given as option indices.
     #[must_use]
     pub fn new(choices: Vec<usize>) -> Self {
         ChoicePath { choices, next: 0 }
--- a/crates/simulation/src/scenario.rs
+++ b/crates/simulation/src/scenario.rs
@@ -1,4 +1,4 @@
-//! A scenario as plain data: processes, settings, and events with their times.
+//! Scenarios as plain data: processes, settings, and events with their times.
 
 mod description;
 
@@ -9,63 +9,63 @@
 /// A possible outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum AttemptOutcome {
-    /// The outcome that follows from its host's state.
+    /// The outcome that follows from the state of the host.
     Normal,
-    /// The host answers with an error after executing it.
+    /// The host executes the request and answers with an error.
     Error,
-    /// The host rejects it.
+    /// The host rejects the attempt.
     Rejected,
     /// The connection is refused.
     ConnectionRefused,
-    /// The connection is reset after the host began to execute it.
+    /// The connection is reset after the host began to execute the request.
     ResetAfterExecution,
-    /// The connection is reset before the host received it.
+    /// The connection is reset before the host received the request.
     ResetBeforeExecution,
-    /// The host executes it and its answer is lost.
+    /// The host executes the request, but its answer is lost.
     AnswerLost,
-    /// It is lost on its way to the host, without a reset.
+    /// The request is lost on its way to the host, without a reset.
     RequestLost,
-    /// It is answered well, but after its latency objective.
+    /// The host answers successfully, but after the latency objective.
     Late,
 }
 
 /// A possible outcome of a call to the counter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum CounterCallOutcome {
-    /// The outcome that follows from the counter's mode.
+    /// The outcome that follows from the mode of the counter.
     Normal,
-    /// It is lost on its way to the counter.
+    /// The call is lost on its way to the counter.
     RequestLost,
-    /// It is executed, and its answer is lost.
+    /// The counter executes the call, but its answer is lost.
     AnswerLost,
-    /// It is rejected.
+    /// The counter rejects the call.
     Rejected,
 }
 
-/// The behaviour of the counter towards calls. The names of the modes appear in reports.
+/// How the counter handles calls. The variant names appear in reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum CounterMode {
-    /// It answers.
+    /// The counter executes and answers calls.
     #[default]
     Normal,
-    /// It neither answers nor executes calls.
+    /// The counter neither executes nor answers calls.
     Silent,
-    /// A call takes this multiple of its usual time.
+    /// The execution of a call takes this multiple of its usual duration.
     Slow(f64),
-    /// It rejects calls.
+    /// The counter rejects calls.
     Refusing,
 }
 
-/// The counter at the start of a run.
+/// The configuration of the counter at the start of a run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CounterSetup {
-    /// The counter's mode until an event of the scenario changes it.
+    /// The mode until an event of the scenario changes it.
     pub mode: CounterMode,
-    /// The possible outcomes of each call; one entry leaves nothing open.
+    /// The possible outcomes of each call; a single entry fixes the outcome.
     pub call_outcomes: Vec<CounterCallOutcome>,
-    /// How long a call takes.
+    /// Execution time of a call, in nanoseconds.
     pub call_duration: Nanos,
-    /// The number of shards. Each has a queue of its own, and names are distributed over them.
+    /// Number of shards. Names are distributed over the shards by hash, and each shard has its own queue.
     pub shards: u32,
 }
 
@@ -74,29 +74,29 @@
         CounterSetup {
             mode: CounterMode::Normal,
             call_outcomes: vec![CounterCallOutcome::Normal],
-            // The middle of what the deployment's counter needs for a call.
+            // 1.2 ms, the middle of the range of call durations of the deployment's counter.
             call_duration: 1_200_000,
             shards: 1,
         }
     }
 }
 
-/// A host at the start of a run.
+/// The configuration of a host at the start of a run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HostSetup {
-    /// Its state, in truth and in discovery's list.
+    /// The state, both actual and in discovery's list.
     pub state: HostState,
-    /// How long ago its process started; `None` where it has long been warm.
+    /// Time since its process started, in nanoseconds; `None` if it warmed up long ago.
     pub uptime: Option<Nanos>,
-    /// Requests that it executes concurrently.
+    /// Number of requests that the host executes concurrently.
     pub cores: u32,
-    /// The relative speed of a core; 1 is the speed for which work is stated.
+    /// Relative speed of a core; work is stated for speed 1.
     pub speed: f64,
-    /// Requests that it queues beyond those that it executes.
+    /// Number of requests that can wait in addition to those being executed.
     pub queue_capacity: usize,
-    /// Its weight in discovery's list.
+    /// Relative weight in discovery's list.
     pub weight: f64,
-    /// It does not run yet: [`ScenarioEvent::StartHost`] or [`ScenarioEvent::ReplaceHost`] starts it.
+    /// Whether the host is not running yet; [`ScenarioEvent::StartHost`] or [`ScenarioEvent::ReplaceHost`] starts it.
     pub absent: bool,
 }
 
@@ -114,14 +114,14 @@
     }
 }
 
-/// Mean one-way delays.
+/// Mean one-way network delays, in nanoseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NetworkDelays {
-    /// Within a zone.
+    /// Between processes in the same zone.
     pub same_zone: Nanos,
-    /// Between zones.
+    /// Between processes in different zones.
     pub cross_zone: Nanos,
-    /// To the counter.
+    /// Between a limiter and the counter.
     pub counter: Nanos,
 }
 
@@ -135,17 +135,17 @@
     }
 }
 
-/// The limiters through which a partner's requests come: consecutive indices, modulo the number of limiters.
+/// The limiters that receive a partner's requests: consecutive indices, modulo the number of limiters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LimiterSet {
-    /// How many they are.
+    /// Number of limiters in the set.
     pub count: u32,
-    /// The first of them.
+    /// The first limiter of the set.
     pub first: LimiterIndex,
 }
 
 impl LimiterSet {
-    /// The limiter that follows another one of the set, out of so many limiters in all.
+    /// Returns the limiter of the set that follows `limiter`; `limiters` is the number of all limiters.
     #[must_use]
     pub fn next_after(self, limiter: LimiterIndex, limiters: usize) -> LimiterIndex {
         let first = self.first.as_usize();
@@ -155,29 +155,29 @@
     }
 }
 
-/// One request of a client.
+/// A request of a client.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientRequest {
-    /// The operation. A further request for the same one is a retry, with the same idempotency key.
+    /// The operation requested. Another request for the same operation is a retry with the same idempotency key.
     pub operation: u64,
-    /// The class.
+    /// The request class.
     pub class: ClassIndex,
-    /// The partner.
+    /// The partner whose quota is charged.
     pub partner: PartnerIndex,
-    /// The partner's plan.
+    /// The plan of the partner.
     pub plan: PlanIndex,
-    /// The units that the client states.
+    /// Units that the client states.
     pub units: f64,
-    /// The true units, which the first good answer states; 0 where the client's are exact.
+    /// Actual units, which the first successful answer states; 0 if the client's figure is exact.
     pub true_units: f64,
-    /// The limiter through which it comes.
+    /// The limiter that receives the request.
     pub limiter: LimiterIndex,
-    /// The limiters through which the partner's requests come.
+    /// The limiters that receive the partner's requests.
     pub limiter_set: LimiterSet,
-    /// How long the client waits.
+    /// How long the client waits for the answer, in nanoseconds.
     pub timeout: Nanos,
-    /// It is a retry: it waits for the answer of the operation's earlier request and comes only where that one was
-    /// not served.
+    /// Whether this is a retry: the client sends it after the operation's earlier request has ended, and only if that
+    /// request was not served.
     pub retry: bool,
 }
 
@@ -188,11 +188,11 @@
     Request(ClientRequest),
     /// A host begins to drain.
     DrainHost(HostIndex),
-    /// A host's process dies: its connections are reset, new ones are refused.
+    /// A host's process dies: its connections are reset, and new ones are refused.
     KillHost(HostIndex),
-    /// A host's machine becomes unreachable: no answer, reset or notification comes from it.
+    /// A host's machine becomes unreachable: it sends no answer, reset or notification.
     IsolateHost(HostIndex),
-    /// A host's process starts and warms up.
+    /// A host's process starts and begins to warm up.
     StartHost(HostIndex),
     /// A host's process dies and another host starts at its address.
     ReplaceHost {
@@ -203,87 +203,88 @@
     },
     /// A host's speed changes.
     SetHostSpeed {
-        /// The host.
+        /// The host whose speed changes.
         host: HostIndex,
-        /// Its new relative speed.
+        /// The new relative speed of its cores.
         speed: f64,
     },
-    /// The counter changes its mode.
+    /// The counter switches to another mode.
     SetCounterMode(CounterMode),
-    /// The counter forgets all totals.
+    /// The counter loses all totals.
     ClearCounter,
-    /// Discovery stops to notify limiters (`false`), or notifies them of its whole list and goes on (`true`).
+    /// Discovery stops notifying limiters (`false`), or sends its whole list and resumes notifications (`true`).
     SetDiscovery(bool),
-    /// A limiter dies.
+    /// A limiter's process dies.
     KillLimiter(LimiterIndex),
-    /// A limiter starts again without state.
+    /// A limiter restarts without its former state.
     StartLimiter(LimiterIndex),
 }
 
-/// Something that happens at one of some moments.
+/// An event of the scenario and the possible times at which it happens.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Step {
-    /// The possible moments, after the start of the run; one entry leaves nothing open.
+    /// The possible times, in nanoseconds after the start of the run; a single entry fixes the time.
     pub moments: Vec<Nanos>,
-    /// The event of the step.
+    /// The event that is applied.
     pub event: ScenarioEvent,
-    /// Steps of one group exchange their moments in every order.
+    /// Group of steps whose times may be permuted among them; `None` if the step keeps its own time.
     pub reorder_group: Option<u32>,
 }
 
-/// How clients retry by themselves.
+/// How clients retry on their own, without a step of the scenario.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RetryPolicy {
-    /// The delay after the answer; a longer `retry_after` of the answer takes precedence.
+    /// Delay after the answer, in nanoseconds; a longer `retry_after` in the answer takes precedence.
     pub delay: Nanos,
-    /// Whether the retry comes through the next limiter of the partner's set.
+    /// Whether the retry goes to the next limiter of the partner's set instead of the same one.
     pub next_limiter: bool,
 }
 
-/// Processes, settings and events.
+/// The processes, settings and events of a run, with the options among which an oracle chooses.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Scenario {
-    /// The settings of each limiter; its own index, its zone and the number of limiters are filled in for it.
+    /// The settings of all limiters. The simulation fills in each limiter's own index and zone and the number of
+    /// limiters.
     pub settings: Settings,
-    /// The actual behaviour of hosts, which the limiters' settings may misstate: how long hosts deduplicate, how they warm up, and
-    /// when one that warms up is overloaded.
+    /// The actual behaviour of hosts, which the limiters' settings may misstate: how long they deduplicate, how they
+    /// warm up, and how much work overloads them while warming up.
     pub ground_truth: Settings,
-    /// The names and places of the processes.
+    /// The names and locations of the processes.
     pub processes: Processes,
-    /// The hosts, in the order of those in `processes`.
+    /// The hosts, by [`HostIndex`], in the order of `processes.hosts`.
     pub hosts: Vec<HostSetup>,
-    /// Delays of the network.
+    /// Mean delays of the network.
     pub network: NetworkDelays,
-    /// Unix time at the start. Windows of quotas are aligned to it.
+    /// Unix time at the start of the run, in nanoseconds. Quota windows are aligned to Unix time.
     pub start: Nanos,
-    /// Possible offsets that are added to it; one entry leaves nothing open.
+    /// Possible offsets added to `start`, in nanoseconds; a single entry fixes the offset.
     pub start_offsets: Vec<Nanos>,
-    /// Possible seeds of the limiters; one entry leaves nothing open.
+    /// Possible seeds of the limiters and the environment; a single entry fixes the seed.
     pub seeds: Vec<u64>,
-    /// Possible delays until discovery notifies one limiter of a change; one entry leaves nothing open.
+    /// Possible delays until a limiter is notified of a change, in nanoseconds; a single entry fixes the delay.
     pub discovery_delays: Vec<Nanos>,
-    /// The counter.
+    /// The configuration of the counter.
     pub counter: CounterSetup,
-    /// The possible outcomes of each attempt; one entry leaves nothing open.
+    /// The possible outcomes of each attempt; a single entry fixes the outcome.
     pub attempt_outcomes: Vec<AttemptOutcome>,
-    /// The work of a request on a core of speed 1, by class.
+    /// Mean execution time of a request on a core of speed 1, in nanoseconds, by [`ClassIndex`].
     pub work: Vec<Nanos>,
-    /// Variation of work and delays: the standard deviation of their logarithm; 0 for none.
+    /// Standard deviation of the logarithm of work and delays; 0 for no variation.
     pub log_deviation: f64,
     /// The events with their possible times.
     pub steps: Vec<Step>,
-    /// How clients retry by themselves; `None` where they do not.
+    /// How clients retry on their own; `None` if they do not.
     pub retry: Option<RetryPolicy>,
-    /// The run ends this long after its start at the latest.
+    /// Maximum duration of the run, in nanoseconds.
     pub max_duration: Nanos,
-    /// The number of a variant, for which nothing is left open: [`option_of_variant`] makes every choice, in the
-    /// simulation and on sockets alike.
+    /// The variant for which [`option_of_variant`] makes every choice, in the simulation and on sockets alike; `None`
+    /// if the oracle chooses.
     pub variant: Option<usize>,
 }
 
-/// The option that a variant takes at a choice. `number` is that of an attempt or a counter call, 0 elsewhere. A
-/// variant has its own option for first attempts and the first option for further ones; it cycles through the
-/// options of counter calls.
+/// Returns the option that a variant takes at a choice point. `number` is that of the attempt or counter call, 0 at
+/// other points. A variant has its own option for times, discovery delays and first attempts, cycles through the
+/// options of counter calls, and takes the first option everywhere else.
 #[must_use]
 pub fn option_of_variant(
     variant: usize,
--- a/crates/simulation/src/scenario/description.rs
+++ b/crates/simulation/src/scenario/description.rs
@@ -1,10 +1,10 @@
-//! Descriptions of a scenario's events for timelines.
+//! Descriptions of scenario events for timelines.
 
 use super::ScenarioEvent;
 use quartzcleat_invariants::{HostIndex, Processes};
 
 impl ScenarioEvent {
-    /// The event as a line of the timeline; `None` where another fact of the run records it.
+    /// Returns the event as a line of the timeline; `None` if another fact of the run already records it.
     #[must_use]
     pub fn describe(&self, processes: &Processes) -> Option<String> {
         let host = |index: HostIndex| processes.host(index);
--- a/crates/simulation/src/simulation.rs
+++ b/crates/simulation/src/simulation.rs
@@ -1,9 +1,9 @@
-//! A run of a scenario: its steps and their consequences, one event after another in virtual time.
+//! Discrete-event simulation of a scenario: handles one event after another in virtual time.
 //!
 //! [`Simulation`] owns the state of all processes. Its methods are grouped by concern: [`setup`] starts a run,
-//! [`limiters`] feeds the decision engines and carries out their actions, [`attempts`] follows attempts to hosts and
-//! back, [`counter_calls`] does the same for calls to the counter, [`clients`] sends requests and receives answers,
-//! [`discovery`] notifies limiters of hosts, and [`environment`] carries out the scenario's steps.
+//! [`limiters`] passes events to the decision engines and executes their actions, [`attempts`] models attempts from
+//! limiter to host and back, [`counter_calls`] does the same for calls to the counter, [`clients`] sends requests and
+//! receives answers, [`discovery`] notifies limiters of hosts, and [`environment`] applies the scenario's steps.
 
 mod attempts;
 mod clients;
@@ -30,17 +30,17 @@
 /// The result of a run.
 #[derive(Clone, Debug)]
 pub struct SimulationRun {
-    /// The observed facts, in order.
+    /// The observed facts, in order of time.
     pub records: Vec<Record>,
-    /// Whether the run came to its end; otherwise the oracle stopped it.
+    /// Whether the run reached its end; `false` if the oracle stopped it.
     pub is_complete: bool,
-    /// The number of events of limiters, hosts, counter and clients.
+    /// Number of events handled, including the scenario's steps.
     pub events: u64,
-    /// When the run ended.
+    /// Virtual time at the end of the run: Unix time in nanoseconds.
     pub end: Nanos,
 }
 
-/// Runs a scenario once.
+/// Runs a scenario once, with the choices of `oracle` wherever the scenario lists several options.
 pub fn simulate(scenario: &Scenario, oracle: &mut dyn Oracle) -> SimulationRun {
     let mut simulation = Simulation::new(scenario, oracle);
     let is_complete = simulation.run().is_ok();
@@ -52,7 +52,7 @@
     }
 }
 
-/// The oracle stopped the run.
+/// Error that ends a run because the oracle stopped it.
 #[derive(Debug)]
 struct Stopped;
 
@@ -74,7 +74,7 @@
     records: Vec<Record>,
     history: HistoryHash,
     events: u64,
-    /// Choices since the last event, which the state may not show yet.
+    /// Choices made since the current event began; the rest of the state may not reflect them yet.
     choices: Vec<usize>,
 }
 
@@ -169,7 +169,7 @@
         }
     }
 
-    /// Whether nothing is to come but timers of limiters without work.
+    /// Returns whether no limiter has work and no pending event can create any.
     fn is_finished(&self) -> bool {
         let is_relevant = |event: &Event| {
             matches!(
@@ -183,12 +183,12 @@
         !self.limiters.iter().any(Limiter::has_work) && !self.queue.events().any(is_relevant)
     }
 
-    /// Chooses one of some options.
+    /// Chooses one of `options` options and returns its index.
     fn choose(&mut self, point: ChoicePoint, options: usize) -> Result<usize, Stopped> {
         self.choose_numbered(point, 0, options)
     }
 
-    /// Chooses one of some options for an attempt or counter call of this number.
+    /// Chooses one of `options` options for the attempt or counter call with this number and returns its index.
     fn choose_numbered(
         &mut self,
         point: ChoicePoint,
@@ -220,18 +220,18 @@
         Ok(choice)
     }
 
-    /// Records a fact of this moment.
+    /// Records a fact at the current virtual time.
     fn record(&mut self, fact: Fact) {
         self.history.add(&fact);
         self.records.push(Record { at: self.now, fact });
     }
 
-    /// Schedules an event after a delay.
+    /// Schedules an event after a delay in nanoseconds.
     fn schedule(&mut self, delay: Nanos, event: Event) {
         self.queue.schedule(self.now + delay, event);
     }
 
-    /// The present incarnation of a limiter.
+    /// Returns the current incarnation of a limiter.
     fn incarnation(&self, limiter: LimiterIndex) -> LimiterIncarnation {
         LimiterIncarnation {
             limiter,
@@ -239,9 +239,9 @@
         }
     }
 
-    /// Whether this incarnation of a limiter still runs.
+    /// Returns whether this incarnation of a limiter is still running.
     fn is_current(&self, limiter: LimiterIncarnation) -> bool {
-        let present = &self.limiters[limiter.limiter.as_usize()];
-        present.is_up && present.incarnation == limiter.incarnation
+        let current = &self.limiters[limiter.limiter.as_usize()];
+        current.is_up && current.incarnation == limiter.incarnation
     }
 }
--- a/crates/simulation/src/simulation/attempts.rs
+++ b/crates/simulation/src/simulation/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: their way to a host, their execution there, and what the limiter learns of their end.
+//! Attempts: transmission to a host, execution there, and the outcome reported to the limiter.
 
 use super::{Simulation, Stopped};
 use crate::event_queue::Event;
@@ -14,13 +14,13 @@
 use quartzcleat_invariants::{Answer, Fact, HostIndex};
 use std::collections::VecDeque;
 
-/// How long a host takes to answer a repeat that it recognises.
-const REPEAT_ANSWER_TIME: Nanos = 1_000_000;
-/// The work of a request whose class has none.
+/// Time in which a host answers a duplicate without executing it: 1 ms.
+const DUPLICATE_ANSWER_TIME: Nanos = 1_000_000;
+/// Work of a request whose class has none configured: 100 ms on a core of speed 1.
 const DEFAULT_WORK: Nanos = 100_000_000;
 
 impl Simulation<'_> {
-    /// Sends an attempt as the engine orders. Where it must not be sent, the engine learns so at once.
+    /// Sends an attempt that the engine ordered. If it must not be sent, the engine is notified immediately.
     pub(super) fn send_attempt(
         &mut self,
         limiter: LimiterIndex,
@@ -86,7 +86,7 @@
         Ok(())
     }
 
-    /// Lets an attempt reach its host after a delay, or fail on its way.
+    /// Schedules the arrival of an attempt at its host, or its failure on the way.
     fn apply_outcome(
         &mut self,
         attempt: AttemptKey,
@@ -116,7 +116,7 @@
         self.schedule_attempt_end(2 * delay, attempt, failure);
     }
 
-    /// A host receives an attempt.
+    /// Handles the arrival of an attempt at a host. An attempt that has already ended is ignored.
     pub(super) fn receive_attempt(
         &mut self,
         attempt: AttemptKey,
@@ -144,7 +144,7 @@
         }
     }
 
-    /// A host executes an attempt.
+    /// Executes an attempt at a host and schedules its end and that of the job.
     fn execute(&mut self, attempt: AttemptKey, host: HostIndex, outcome: AttemptOutcome) {
         let in_flight = self.in_flight(attempt);
         let operation = in_flight
@@ -152,14 +152,14 @@
             .or_else(|| self.clients.operation_of(attempt.request))
             .unwrap_or(0);
         let class = in_flight.map_or(ClassIndex(0), |in_flight| in_flight.class);
-        let deduplicated = self.is_repeat(class, operation, host);
+        let deduplicated = self.is_duplicate(class, operation, host);
         self.record(Fact::Executed {
             host,
             request: attempt.request,
             deduplicated,
         });
         let elapsed = if deduplicated {
-            REPEAT_ANSWER_TIME
+            DUPLICATE_ANSWER_TIME
         } else {
             let work = self.work(class);
             let work = self.variation.vary(work);
@@ -186,9 +186,9 @@
         self.schedule(elapsed, finished);
     }
 
-    /// Whether a host recognises a repeat: one of its group executed the same key within the window. Otherwise the
-    /// key's window begins now.
-    fn is_repeat(&mut self, class: ClassIndex, operation: u64, host: HostIndex) -> bool {
+    /// Returns whether a host recognises a duplicate, because a host that shares its keys executed the same key within
+    /// the deduplication window. Otherwise a new window for the key begins now.
+    fn is_duplicate(&mut self, class: ClassIndex, operation: u64, host: HostIndex) -> bool {
         let Some(class) = self.scenario.ground_truth.classes.get(class.as_usize()) else {
             return false;
         };
@@ -202,20 +202,20 @@
             DedupScope::Cell => process.cell.0 + 1,
         };
         let key = GroupKey { group, operation };
-        let is_repeat = self
+        let is_duplicate = self
             .executed_keys
             .get(&key)
             .is_some_and(|first| self.now < first + class.dedup_window);
-        if !is_repeat {
+        if !is_duplicate {
             self.executed_keys.insert(key, self.now);
         }
-        is_repeat
+        is_duplicate
     }
 
-    /// A host has finished a job and takes the next one from its queue.
+    /// Finishes a job at a host, which then executes the next one in its queue.
     pub(super) fn finish_job(&mut self, host: HostIndex, process_start: Nanos) {
         let state = &mut self.hosts[host.0];
-        // A job of a process that is gone has ended with it.
+        // The job ended with its process if that process has stopped since.
         if state.started != process_start || state.status != HostStatus::Running {
             return;
         }
@@ -224,7 +224,7 @@
         }
     }
 
-    /// A limiter learns how an attempt ended, if it is still in flight.
+    /// Reports the outcome of an attempt to its limiter, if the attempt is still in flight.
     pub(super) fn end_attempt(
         &mut self,
         attempt: AttemptKey,
@@ -235,7 +235,7 @@
         };
         let is_good = outcome == Outcome::Good;
         if is_good && self.hosts[in_flight.host.0].status == HostStatus::Unreachable {
-            // The answer comes from a machine that is unreachable by now.
+            // The machine has become unreachable in the meantime, so its answer is lost.
             return Ok(());
         }
         self.limiters[attempt.limiter.as_usize()]
@@ -268,7 +268,7 @@
         self.handle(attempt.limiter, done)
     }
 
-    /// The true units that an answer states; zero where it states none.
+    /// Records and returns the actual units that a successful answer states; 0 if it states none.
     fn settle_units(&mut self, request: RequestId, operation: u64, outcome: Outcome) -> f64 {
         if outcome != Outcome::Good {
             return 0.0;
@@ -280,7 +280,7 @@
         units
     }
 
-    /// A host's process dies, and the connections of its attempts are reset.
+    /// Kills a host's process, which resets the connections of its attempts.
     pub(super) fn kill_host(&mut self, host: HostIndex) {
         self.hosts[host.0].stop(HostStatus::Dead);
         for attempt in self.attempts_at(host) {
@@ -314,7 +314,7 @@
         self.limiters[attempt.limiter.as_usize()].attempt(attempt.request, attempt.attempt)
     }
 
-    /// A one-way delay between a limiter and a host.
+    /// Returns a one-way delay between a limiter and a host, in nanoseconds.
     fn delay_to_host(&mut self, limiter: LimiterIndex, host: HostIndex) -> Nanos {
         let processes = &self.scenario.processes;
         let from = processes.limiters[limiter.as_usize()].zone;
--- a/crates/simulation/src/simulation/clients.rs
+++ b/crates/simulation/src/simulation/clients.rs
@@ -7,23 +7,27 @@
 use quartzcleat_invariants::{Answer, Fact};
 use std::collections::BTreeMap;
 
-/// A limiter fails an unanswered request this long before its deadline.
+/// How long before its deadline a limiter fails an unanswered request: 2 ms.
 pub(super) const ANSWER_MARGIN: Nanos = 2_000_000;
-/// How often a client that has a retry to send looks whether the earlier request has its answer.
+/// Interval at which a client with a pending retry checks whether the earlier request has ended: 1 ms.
 const RETRY_POLL_INTERVAL: Nanos = 1_000_000;
-/// Requests that a client sends for one operation by itself, the first one and one retry.
+/// Maximum number of requests that a client sends for one operation on its own: the first request and one retry.
 const MAX_REQUESTS_OF_OPERATION: u32 = 2;
 
-/// An operation that a client wants done, over all its requests.
+/// An operation requested by a client, across its first request and its retries.
 #[derive(Clone, Debug)]
 struct Operation {
+    /// The latest request for the operation.
     request: ClientRequest,
+    /// The answer received since the latest request was sent; [`Answer::Served`] is not overwritten by a later answer.
     answer: Option<Answer>,
+    /// Number of requests sent for the operation.
     requests: u32,
+    /// Whether the latest request still awaits its answer.
     is_open: bool,
 }
 
-/// The state of the clients.
+/// The state of all clients.
 #[derive(Debug, Default)]
 pub(super) struct Clients {
     operations: BTreeMap<u64, Operation>,
@@ -32,19 +36,19 @@
 }
 
 impl Clients {
-    /// The operation of a request.
+    /// Returns the operation of a request; `None` if the request is unknown.
     pub(super) fn operation_of(&self, request: RequestId) -> Option<u64> {
         self.operation_of_request.get(&request).copied()
     }
 
-    /// The true units of an operation; 0 where the stated ones are exact.
+    /// Returns the actual units of an operation; 0 if the stated units are exact.
     pub(super) fn true_units(&self, operation: u64) -> f64 {
         self.operations
             .get(&operation)
             .map_or(0.0, |operation| operation.request.true_units)
     }
 
-    /// The connections to a limiter are gone, and with them the answers that were pending.
+    /// Closes the requests that await an answer from a limiter, because its connections were lost.
     pub(super) fn disconnect_from(&mut self, limiter: LimiterIndex) {
         for operation in self.operations.values_mut() {
             if operation.request.limiter == limiter {
@@ -70,12 +74,12 @@
 }
 
 impl Simulation<'_> {
-    /// A client sends a request.
+    /// Sends a request of a client to its limiter. A retry waits until the operation's earlier request has ended.
     pub(super) fn send_request(&mut self, request: ClientRequest) -> Result<(), Stopped> {
         if request.retry {
             let earlier = self.clients.operations.get(&request.operation);
             if earlier.is_some_and(|earlier| earlier.is_open) {
-                // The client waits for the answer of the earlier request.
+                // The earlier request still awaits its answer.
                 self.schedule(RETRY_POLL_INTERVAL, Event::ClientRequest(request));
                 return Ok(());
             }
@@ -92,7 +96,7 @@
         self.receive_request(id, &request)
     }
 
-    /// Gives a request its final answer, if it is still open at its limiter.
+    /// Delivers the final answer to a request that is still open at its limiter; does nothing otherwise.
     pub(super) fn answer(&mut self, limiter: LimiterIndex, request: RequestId, answer: Answer) {
         let Some(open) = self.limiters[limiter.as_usize()]
             .open_requests
@@ -114,7 +118,7 @@
         }
     }
 
-    /// Schedules a client's retry, where clients retry by themselves.
+    /// Schedules a client's retry if the scenario has a retry policy.
     fn schedule_retry(&mut self, mut request: ClientRequest, answer: Answer) {
         let Some(policy) = self.scenario.retry.as_ref() else {
             return;
--- a/crates/simulation/src/simulation/counter_calls.rs
+++ b/crates/simulation/src/simulation/counter_calls.rs
@@ -1,4 +1,4 @@
-//! Calls of the limiters to the counter.
+//! Counter calls of the limiters: sending, execution and replies.
 
 use super::{Simulation, Stopped};
 use crate::counter::CounterReply;
@@ -8,7 +8,7 @@
 use quartzcleat_decision::api::{LimiterIndex, Nanos, Outcome};
 
 impl Simulation<'_> {
-    /// A limiter calls the counter.
+    /// Sends a call of a limiter to the counter, and schedules the end of the call at its timeout.
     pub(super) fn call_counter(
         &mut self,
         limiter: LimiterIndex,
@@ -69,14 +69,14 @@
         self.schedule(delay, end);
     }
 
-    /// The counter receives a call and queues it.
+    /// Queues a call that has reached the counter.
     pub(super) fn receive_counter_call(&mut self, call: CounterCall) {
         if let Some(done) = self.counter.enqueue(&call.name, self.now) {
             self.schedule(done - self.now, Event::CounterCallExecutes(call));
         }
     }
 
-    /// The counter executes a call and answers it.
+    /// Executes a call at the counter and sends the reply.
     pub(super) fn execute_counter_call(&mut self, call: &CounterCall) {
         let reply = self
             .counter
@@ -94,7 +94,7 @@
         self.schedule(delay, end);
     }
 
-    /// A limiter learns how a call ended.
+    /// Reports the end of a call to the limiter that made it, unless it has died or restarted since.
     pub(super) fn end_counter_call(
         &mut self,
         caller: LimiterIncarnation,
--- a/crates/simulation/src/simulation/discovery.rs
+++ b/crates/simulation/src/simulation/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: its list of hosts, and the notifications of the limiters.
+//! Discovery: its list of hosts, and the notifications that it sends to limiters.
 
 use super::{Simulation, Stopped};
 use crate::event_queue::{Event, LimiterIncarnation};
@@ -12,8 +12,9 @@
 pub(super) struct Discovery {
     /// The hosts that are not gone.
     pub(super) entries: Vec<HostEntry>,
+    /// Version of the list, incremented with each change.
     pub(super) version: u64,
-    /// Whether it notifies limiters at present.
+    /// Whether discovery currently notifies limiters.
     is_notifying: bool,
 }
 
@@ -28,7 +29,7 @@
 }
 
 impl Simulation<'_> {
-    /// Lists the hosts that are there at the start.
+    /// Fills the list with the hosts that are present at the start of the run.
     pub(super) fn list_present_hosts(&mut self) {
         self.discovery.entries = (0..self.hosts.len())
             .map(HostIndex)
@@ -39,11 +40,11 @@
 
     fn host_entry(&self, host: HostIndex) -> HostEntry {
         let process = &self.scenario.processes.hosts[host.0];
-        let present = &self.hosts[host.0];
-        let state = match (present.status, present.draining) {
+        let current = &self.hosts[host.0];
+        let state = match (current.status, current.draining) {
             (HostStatus::Dead, _) => HostState::Gone,
             (_, true) => HostState::Draining,
-            // Discovery hears nothing of a machine that has become unreachable.
+            // Discovery does not detect that a machine has become unreachable.
             _ => HostState::Ready,
         };
         HostEntry {
@@ -52,12 +53,12 @@
             cell: process.cell,
             zone: process.zone,
             kind: 0,
-            started: present.started,
+            started: current.started,
             weight: self.scenario.hosts[host.0].weight,
         }
     }
 
-    /// Discovery learns of a host's change and notifies the limiters.
+    /// Updates the entry of a host in discovery's list and notifies the limiters of the change.
     pub(super) fn update_host(&mut self, host: HostIndex) -> Result<(), Stopped> {
         let entry = self.host_entry(host);
         let entries = &mut self.discovery.entries;
@@ -72,7 +73,7 @@
         Ok(())
     }
 
-    /// Discovery stops to notify limiters, or notifies them of its whole list and goes on.
+    /// Stops notifying limiters, or sends them the whole list and resumes notifications.
     pub(super) fn set_discovery(&mut self, is_notifying: bool) -> Result<(), Stopped> {
         self.discovery.is_notifying = is_notifying;
         if is_notifying {
@@ -97,7 +98,7 @@
         Ok(())
     }
 
-    /// A limiter receives a notification.
+    /// Delivers a notification to a limiter, unless it has died or restarted since the notification was sent.
     pub(super) fn notify_limiter(
         &mut self,
         limiter: LimiterIncarnation,
@@ -120,7 +121,7 @@
         self.handle(limiter, hosts)
     }
 
-    /// Records that the hosts which a whole list leaves out are gone for a limiter.
+    /// Records that a limiter regards the hosts missing from a complete list as gone.
     fn record_unlisted_hosts(&mut self, limiter: LimiterIndex, entries: &[HostEntry]) {
         for host in (0..self.hosts.len()).map(HostIndex) {
             let is_listed = entries.iter().any(|entry| host_index(entry) == host);
@@ -145,7 +146,7 @@
     }
 }
 
-/// The host of an entry; the engines of the simulation know hosts by their positions.
+/// Returns the index of an entry's host; in the simulation a [`HostId`] holds the host's index.
 fn host_index(entry: &HostEntry) -> HostIndex {
     HostIndex(entry.host.0 as usize)
 }
--- a/crates/simulation/src/simulation/environment.rs
+++ b/crates/simulation/src/simulation/environment.rs
@@ -1,4 +1,4 @@
-//! The environment: what the scenario's steps do to hosts, counter, discovery and limiters.
+//! The environment: effects of the scenario's steps on hosts, counter, discovery and limiters.
 
 use super::{Simulation, Stopped};
 use crate::host::{AttemptKey, HostStatus, MIN_SPEED};
@@ -62,7 +62,7 @@
         self.update_host(host)
     }
 
-    /// A limiter dies with its open requests and its attempts in flight.
+    /// Kills a limiter's process, which drops its open requests and resets its attempts in flight.
     fn kill_limiter(&mut self, limiter: LimiterIndex) {
         self.record(Fact::LimiterDied { limiter });
         let state = &mut self.limiters[limiter.as_usize()];
--- a/crates/simulation/src/simulation/limiters.rs
+++ b/crates/simulation/src/simulation/limiters.rs
@@ -1,4 +1,4 @@
-//! The limiters' decision engines: events in, actions carried out.
+//! The limiters' decision engines: delivers events to them and executes their actions.
 
 use super::{Simulation, Stopped};
 use crate::event_queue::{Event, LimiterIncarnation};
@@ -12,7 +12,8 @@
 use std::collections::VecDeque;
 
 impl Simulation<'_> {
-    /// Gives an event to a limiter's engine and carries out its actions. Events that these cause at once follow.
+    /// Passes an event to a limiter's engine and executes the resulting actions. Events that the actions cause
+    /// immediately are handled next.
     pub(super) fn handle(
         &mut self,
         limiter: LimiterIndex,
@@ -32,13 +33,13 @@
             }
             state.engine.handle(self.now, event, &mut actions);
             for action in std::mem::take(&mut actions) {
-                self.carry_out(limiter, action, &mut events)?;
+                self.execute_action(limiter, action, &mut events)?;
             }
         }
         Ok(())
     }
 
-    fn carry_out(
+    fn execute_action(
         &mut self,
         limiter: LimiterIndex,
         action: Action,
@@ -100,7 +101,7 @@
         Ok(())
     }
 
-    /// Fails a request that has no answer at the last moment at which it is in time.
+    /// Fails a request that is still unanswered shortly before its deadline.
     pub(super) fn fail_unanswered(
         &mut self,
         limiter: LimiterIncarnation,
@@ -117,7 +118,7 @@
         Ok(())
     }
 
-    /// A limiter receives a request.
+    /// Registers a request at its limiter and passes it to the engine.
     pub(super) fn receive_request(
         &mut self,
         id: RequestId,
--- a/crates/simulation/src/simulation/setup.rs
+++ b/crates/simulation/src/simulation/setup.rs
@@ -1,4 +1,4 @@
-//! The start of a run: its processes and the moments of its steps.
+//! The start of a run: creates the processes and schedules the steps.
 
 use super::{Simulation, Stopped};
 use crate::event_queue::Event;
@@ -9,17 +9,19 @@
 use quartzcleat_decision::api::{self, LimiterIndex, ListMode, Nanos};
 use std::collections::BTreeSet;
 
-/// Separates the random numbers of the environment from those of the limiters, which use the seed itself.
+/// Mask that separates the random numbers of the environment from those of the limiters, whose seeds are derived from
+/// the unmasked seed.
 const ENVIRONMENT_SEED_MASK: u64 = 0x9e37_79b9_7f4a_7c15;
-/// Spreads seeds, so that limiters of neighbouring seeds have different ones.
+/// Factor that spreads the seeds of runs, so that limiters in runs with consecutive seeds have different seeds.
 const SEED_FACTOR: u64 = 1_000_003;
-/// The distance between the seeds of two limiters of one run, more than a limiter starts incarnations.
+/// Distance between the seeds of two limiters of a run. It exceeds the number of incarnations of a limiter, each of
+/// which takes the next seed.
 const LIMITER_SEED_STEP: u64 = 7919;
-/// The seed where a scenario states none.
+/// The seed of a run whose scenario lists none.
 const DEFAULT_SEED: u64 = 1;
 
 impl Simulation<'_> {
-    /// Starts all processes and schedules the steps.
+    /// Starts all processes and schedules the steps of the scenario.
     pub(super) fn set_up(&mut self) -> Result<(), Stopped> {
         let scenario = self.scenario;
         let seed = self.choose(ChoicePoint::Seed, scenario.seeds.len())?;
@@ -36,8 +38,8 @@
             .collect();
         self.list_present_hosts();
         for limiter in scenario.processes.limiter_indices() {
-            let fresh = self.new_limiter(limiter, 0);
-            self.limiters.push(fresh);
+            let first_incarnation = self.new_limiter(limiter, 0);
+            self.limiters.push(first_incarnation);
             self.restore_host_list(limiter)?;
         }
         let moments = self.choose_moments()?;
@@ -47,7 +49,7 @@
         Ok(())
     }
 
-    /// Chooses when each step happens: at one of its moments, or, in a reorder group, at one of the group's.
+    /// Chooses the time of each step: one of its own moments, or within a reorder group one of the group's.
     fn choose_moments(&mut self) -> Result<Vec<Nanos>, Stopped> {
         let steps = &self.scenario.steps;
         let mut moments = Vec::with_capacity(steps.len());
@@ -70,7 +72,7 @@
         Ok(moments)
     }
 
-    /// A new incarnation of a limiter, without state.
+    /// Creates a new incarnation of a limiter without any state of the previous one.
     pub(super) fn new_limiter(&self, limiter: LimiterIndex, incarnation: u32) -> Limiter {
         let processes = &self.scenario.processes;
         let mut settings = self.scenario.settings.clone();
@@ -82,7 +84,7 @@
         Limiter::new(settings, seed, self.now, incarnation)
     }
 
-    /// Gives a new limiter discovery's list, as if it had read it from its state file.
+    /// Passes discovery's list to a new limiter, as if the limiter had restored it from its state file.
     pub(super) fn restore_host_list(&mut self, limiter: LimiterIndex) -> Result<(), Stopped> {
         let entries = self.discovery.entries.clone();
         self.record_host_states(limiter, &entries);
--- a/crates/simulation/tests/simulation/main.rs
+++ b/crates/simulation/tests/simulation/main.rs
@@ -1,4 +1,4 @@
-//! Runs of the simulation: what happens in them is what the scenario says, the same each time, within the invariants.
+//! Tests that simulation runs follow their scenario, are deterministic, and satisfy the invariants.
 
 mod scenario;
 
@@ -10,7 +10,7 @@
 };
 use quartzcleat_simulation::{simulate, ChoicePoint, Oracle};
 use scenario::{
-    limiter_in_turn, mixed_requests, request, scenario, step, BED_CHECK, BED_HOLD, MILLISECOND,
+    limiter_in_rotation, mixed_requests, request, scenario, step, BED_CHECK, BED_HOLD, MILLISECOND,
     SECOND, START,
 };
 
@@ -46,7 +46,8 @@
         .find(|record| matches!(record.fact, Fact::Answered { .. }))
         .expect("the request is answered");
     let elapsed = answered.at - START;
-    // An addition and a read at the counter, 110 ms of work and the delays to the host and back.
+    // The elapsed time consists of an addition and a read at the counter, 110 ms of work and the delays to the host and
+    // back.
     assert!(
         (110 * MILLISECOND..118 * MILLISECOND).contains(&elapsed),
         "{elapsed}"
@@ -69,13 +70,13 @@
 }
 
 #[test]
-fn quotas_count_over_all_limiters() {
-    // 40 units at once over three limiters, of a plan that holds 8 and refills 1.6 a second.
+fn quota_is_shared_by_all_limiters() {
+    // 40 units within 200 ms over three limiters, on a plan with a burst of 8 units and a rate of 1.6 units per second.
     let steps = (0..40)
         .map(|number| {
             step(
                 &[number * 5 * MILLISECOND],
-                request(number, BED_HOLD, limiter_in_turn(number)),
+                request(number, BED_HOLD, limiter_in_rotation(number)),
             )
         })
         .collect();
@@ -89,7 +90,7 @@
             }
         )
     });
-    // As a window begins the largest request, 6 units, is in store.
+    // At the start of a window the quota holds 6 units, the size of the largest request.
     assert!(
         (6..=10).contains(&forwarded),
         "{forwarded} units of a store of 6"
@@ -98,7 +99,7 @@
 }
 
 #[test]
-fn reset_attempt_is_retried_and_its_repeat_deduplicated() {
+fn reset_attempt_is_retried_and_deduplicated() {
     let mut scenario = scenario(3, vec![step(&[0], request(1, BED_HOLD, LimiterIndex(0)))]);
     scenario.attempt_outcomes = vec![AttemptOutcome::Normal, AttemptOutcome::ResetAfterExecution];
     let run = simulate(&scenario, &mut ChoicePath::new(vec![1, 0]));
@@ -116,7 +117,7 @@
     assert_eq!(violations(&scenario, &run.records), []);
 }
 
-/// A run of one request whose host meets an event while it executes the request.
+/// Returns the records of a run with one request, whose host is subject to an event while it executes the request.
 fn run_with_event_at_host(event: ScenarioEvent) -> Vec<Record> {
     let steps = vec![
         step(&[0], request(1, BED_CHECK, LimiterIndex(0))),
@@ -139,7 +140,7 @@
 }
 
 #[test]
-fn unreachable_host_sends_nothing_and_its_request_is_answered_all_the_same() {
+fn request_to_an_unreachable_host_is_still_answered() {
     let records = run_with_event_at_host(ScenarioEvent::IsolateHost(HostIndex(0)));
     assert!(!answers(&records).is_empty());
     assert_eq!(attempts_with_outcome(&records, Outcome::Good), 0);
@@ -173,7 +174,7 @@
 }
 
 #[test]
-fn limiter_that_dies_has_no_pending_responses_and_starts_again() {
+fn killed_limiter_drops_its_requests_and_serves_again_after_a_restart() {
     let steps = vec![
         step(&[0], request(1, BED_CHECK, LimiterIndex(0))),
         step(
@@ -190,7 +191,7 @@
     assert_eq!(violations(&scenario, &run.records), []);
 }
 
-/// Chooses at random, from a seed.
+/// An oracle that chooses at random, from a seed.
 struct RandomOracle(u64);
 
 impl Oracle for RandomOracle {
@@ -203,7 +204,7 @@
     }
 }
 
-/// A scenario in which attempts, counter calls, hosts and discovery may fail in every way.
+/// Returns a scenario in which attempts, counter calls, hosts and discovery are subject to every kind of fault.
 fn scenario_with_faults() -> Scenario {
     let mut steps = mixed_requests(12, 40 * MILLISECOND);
     steps.extend([
@@ -247,7 +248,8 @@
     scenario
 }
 
-/// Attempts, counter calls, hosts and discovery fail in every way; 300 runs of one seed each.
+/// Guards against faults that violate an invariant only in combination: 300 runs, each with its own seed, combine
+/// faults of attempts, counter calls, hosts and discovery at random.
 #[test]
 fn invariants_hold_in_random_runs() {
     let scenario = scenario_with_faults();
--- a/crates/simulation/tests/simulation/scenario.rs
+++ b/crates/simulation/tests/simulation/scenario.rs
@@ -1,4 +1,4 @@
-//! Small scenarios: three limiters, two classes, and hosts in three zones.
+//! Small scenarios with three limiters, two classes, and hosts in three zones.
 
 use quartzcleat_decision::api::{
     AttemptSettings, BackoffSettings, Capabilities, CellId, Class, ClassIndex, CounterSettings,
@@ -15,9 +15,9 @@
 pub(crate) const SECOND: Nanos = 1_000 * MILLISECOND;
 pub(crate) const START: Nanos = 1_000_000 * SECOND;
 
-/// An idempotent class.
+/// Index of an idempotent class.
 pub(crate) const BED_CHECK: ClassIndex = ClassIndex(0);
-/// A class with idempotency keys.
+/// Index of a class with idempotency keys.
 pub(crate) const BED_HOLD: ClassIndex = ClassIndex(1);
 pub(crate) const BED_CHECK_DEADLINE: Nanos = 7_500 * MILLISECOND;
 pub(crate) const BED_HOLD_DEADLINE: Nanos = 4 * SECOND;
@@ -166,17 +166,17 @@
     }
 }
 
-/// The limiter of a request that comes through all of them in turn.
-pub(crate) fn limiter_in_turn(request: u64) -> LimiterIndex {
+/// Returns the limiter of a request when requests are assigned to the limiters in rotation.
+pub(crate) fn limiter_in_rotation(request: u64) -> LimiterIndex {
     LimiterIndex((request % 3) as u32)
 }
 
-/// Requests of alternating classes through all limiters in turn.
+/// Returns steps that send requests of alternating classes to the limiters in rotation.
 pub(crate) fn mixed_requests(count: u64, interval: Nanos) -> Vec<Step> {
     (0..count)
         .map(|number| {
             let class = if number % 2 == 0 { BED_CHECK } else { BED_HOLD };
-            let event = request(number, class, limiter_in_turn(number));
+            let event = request(number, class, limiter_in_rotation(number));
             step(&[number * interval], event)
         })
         .collect()
