--- a/crates/fakes/src/client.rs
+++ b/crates/fakes/src/client.rs
@@ -1,4 +1,4 @@
-//! Clients: each request uses a connection of its own, waits for its one answer, and is retried where the scenario's
+//! Fake clients: each request uses its own connection, waits for its single answer, and is retried if the scenario's
 //! clients retry.
 
 use crate::context::{Context, RequestState};
@@ -13,13 +13,13 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-/// How often a retry looks for the answer to the request before it.
+/// How often a retry polls for the answer to the request before it.
 const ANSWER_POLL_INTERVAL: Duration = Duration::from_millis(1);
-/// How long a client stays connected after its deadline, so that a late answer is observed to be late.
+/// How long a client stays connected after its deadline, so that a late answer is recorded as late.
 const LATE_ANSWER_TIME: Duration = Duration::from_millis(500);
 const NANOS_PER_MS: Nanos = 1_000_000;
 
-/// Checks that a limiter is ready.
+/// Checks that a limiter is ready: fails unless it answers `PING` with `+PONG`.
 pub(crate) async fn ping(address: SocketAddr) -> io::Result<()> {
     let mut stream = TcpStream::connect(address).await?;
     stream.write_all(&resp::encode_command(&["PING"])).await?;
@@ -29,7 +29,7 @@
     }
 }
 
-/// Reads one reply; `None` where the connection ends before it.
+/// Reads one reply. Returns `None` if the connection ends before a complete reply.
 async fn read_reply(stream: &mut TcpStream) -> io::Result<Option<Reply>> {
     let mut input = Vec::new();
     loop {
@@ -42,7 +42,7 @@
     }
 }
 
-/// Sends a request, and retries once where the scenario's clients do.
+/// Sends a request and, if the scenario's clients retry, retries it once.
 pub(crate) async fn run(context: &Context, client_request: ClientRequest) {
     if client_request.retry
         && answer_of_earlier_request(context, client_request.operation).await
@@ -67,7 +67,7 @@
     send(context, &retry_of(context, &client_request, retry)).await;
 }
 
-/// Waits until the request before a retry is answered; `None` where there was none.
+/// Waits for the answer to the request before a retry and returns it, or `None` if the operation had no request.
 async fn answer_of_earlier_request(context: &Context, operation: u64) -> Option<Answer> {
     loop {
         let state = context.operations.borrow().get(&operation).copied();
@@ -79,30 +79,30 @@
     }
 }
 
-/// The retry of a request, through the next limiter of its spread where clients change limiters.
+/// Returns the retry of a request. It goes to the next limiter of the request's set if the retry policy says so.
 fn retry_of(
     context: &Context,
     client_request: &ClientRequest,
     retry: &RetryPolicy,
 ) -> ClientRequest {
-    let mut again = ClientRequest {
+    let mut retried = ClientRequest {
         retry: true,
         ..client_request.clone()
     };
     if retry.next_limiter && client_request.limiter_set.count > 1 {
         let limiters = context.scenario.processes.limiters.len();
-        again.limiter = client_request
+        retried.limiter = client_request
             .limiter_set
             .next_after(client_request.limiter, limiters);
     }
-    again
+    retried
 }
 
-/// Sends one request and returns its answer; `None` where no limiter accepted it.
+/// Sends one request and returns its answer, or `None` if it got none.
 async fn send(context: &Context, client_request: &ClientRequest) -> Option<Answer> {
     let Some(address) = context.limiter_address(client_request.limiter) else {
         let limiter = context.scenario.processes.limiter(client_request.limiter);
-        context.remark(format!("{limiter} accepts no connection"));
+        context.record_note(format!("{limiter} accepts no connection"));
         return None;
     };
     let id = context.next_request();
@@ -118,50 +118,52 @@
     };
     context.requests.borrow_mut().insert(id, state);
     let exchanged = exchange(context, address, &command, id, client_request).await;
-    // A limiter that died took its connections along; one that lives and closes without an answer
-    // leaves the request unanswered in the records.
+    // If the limiter's process has ended, so have its connections, and the client is recorded as gone. If a running
+    // limiter closes the connection without an answer, the request stays unanswered in the records.
     if exchanged.is_err() && context.limiter_address(client_request.limiter).is_none() {
         context.record(Fact::ClientLeft { request: id });
     }
     let answer = exchanged.unwrap_or(None);
-    let known = answer.or(Some(Answer::Failed));
+    let last_answer = answer.or(Some(Answer::Failed));
     context
         .operations
         .borrow_mut()
-        .insert(client_request.operation, known);
+        .insert(client_request.operation, last_answer);
     answer
 }
 
-/// A request in the platform's form.
+/// Encodes a request as the platform's command.
 fn request_command(context: &Context, client_request: &ClientRequest, id: RequestId) -> Vec<u8> {
     let settings = &context.scenario.settings;
     let class = &settings.classes[client_request.class.as_usize()];
     let plan = settings.plans.get(client_request.plan.as_usize());
     let plan = plan.map_or("", |plan| plan.name.as_str());
     let wait_ms = client_request.timeout.div_ceil(NANOS_PER_MS);
-    let mut facts = format!("c={},t={plan},d={wait_ms}", class.name);
+    let mut attributes = format!("c={},t={plan},d={wait_ms}", class.name);
     if class.effect == Effect::IdempotentWithKey {
         let key = format!(",k={:016x}", client_request.operation);
-        facts += &key;
+        attributes += &key;
     }
     let units_and_limiters = format!(
         ",units={},spread={},first={}",
         client_request.units, client_request.limiter_set.count, client_request.limiter_set.first
     );
-    facts += &units_and_limiters;
+    attributes += &units_and_limiters;
     let verb = if class.effect == Effect::Idempotent {
         "Q.ASK"
     } else {
         "Q.DO"
     };
     let customer = format!("{:016x}", client_request.partner.0 + 1);
-    resp::encode_command(&[verb, &customer, &wire_id(id), &facts])
+    resp::encode_command(&[verb, &customer, &wire_id(id), &attributes])
 }
 
+/// Formats a request id as on the wire: 16 hex digits.
 fn wire_id(id: RequestId) -> String {
     format!("{:016x}", id.0)
 }
 
+/// Sends a command on a new connection and returns its answer, or `None` if it does not arrive in time.
 async fn exchange(
     context: &Context,
     address: SocketAddr,
@@ -171,7 +173,7 @@
 ) -> io::Result<Option<Answer>> {
     let mut stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
-    // Recorded before it is written: the limiter may act on it before this task goes on.
+    // Recorded before it is written, since the limiter may act on it before this task resumes.
     context.record(Fact::RequestReceived {
         request: id,
         limiter: client_request.limiter,
@@ -194,6 +196,7 @@
     Ok(Some(answer))
 }
 
+/// Converts a reply to an answer. A value of another request, or no reply, is an error.
 fn answer_from(reply: Option<Reply>, id: RequestId) -> io::Result<Answer> {
     match reply {
         Some(Reply::Bulk(value)) if value == wire_id(id) => Ok(Answer::Served),
--- a/crates/fakes/src/context.rs
+++ b/crates/fakes/src/context.rs
@@ -1,5 +1,5 @@
-//! State that the tasks of a run share: the scenario, the clock, the records and the state of each fake. All tasks run on one
-//! thread; no borrow is held across an `await`.
+//! State shared by the tasks of a run: the scenario, the clock, the records and the state of each fake. All tasks run
+//! on one thread; no borrow is held across an `await`.
 
 use crate::limiter::Limiter;
 use crate::recorder::Recorder;
@@ -19,9 +19,9 @@
 #[derive(Clone, Debug)]
 pub(crate) struct RequestState {
     pub(crate) class: ClassIndex,
-    /// The operation that the client wants executed; its requests share it.
+    /// The operation that the client wants executed. A request and its retry have the same one.
     pub(crate) operation: u64,
-    /// Attempts that have reached a host.
+    /// The number of attempts that have reached a host.
     pub(crate) attempts: u32,
 }
 
@@ -32,7 +32,7 @@
     pub(crate) operation: u64,
 }
 
-/// Unix time, advanced by the monotonic clock.
+/// A clock that reads Unix time at its start and advances monotonically from there.
 #[derive(Debug)]
 struct Clock {
     start: Instant,
@@ -62,13 +62,13 @@
     pub(crate) counter: RefCell<FakeCounter>,
     pub(crate) discovery: RefCell<FakeDiscovery>,
     pub(crate) limiters: RefCell<Vec<Limiter>>,
-    /// Requests by their id on the wire.
+    /// The state of each request by its id on the wire.
     pub(crate) requests: RefCell<BTreeMap<RequestId, RequestState>>,
-    /// When each idempotency key was first executed.
+    /// When each operation was first executed within its current deduplication window.
     first_executions: RefCell<BTreeMap<DeduplicationKey, Nanos>>,
-    /// Clients that still wait for an answer.
+    /// The number of clients that still wait for an answer.
     pub(crate) waiting_clients: Cell<usize>,
-    /// The last answer for each operation; `None` while a request for it is open.
+    /// The last answer for each operation; `None` while a request for it is in flight.
     pub(crate) operations: RefCell<BTreeMap<u64, Option<Answer>>>,
     last_request: Cell<u64>,
 }
@@ -92,19 +92,19 @@
         }
     }
 
-    /// The current time of the run.
+    /// Returns the current time as Unix time in nanoseconds.
     pub(crate) fn now(&self) -> Nanos {
         self.clock.now()
     }
 
-    /// Records an event now.
+    /// Records an event with the current time.
     pub(crate) fn record(&self, event: Fact) {
         let now = self.now();
         self.recorder.borrow_mut().record(now, event);
     }
 
-    /// Records a remark for readers.
-    pub(crate) fn remark(&self, text: String) {
+    /// Records a note for readers of the timeline; no invariant depends on it.
+    pub(crate) fn record_note(&self, text: String) {
         self.record(Fact::Note(text));
     }
 
@@ -113,7 +113,8 @@
         self.recorder.borrow_mut().take_records()
     }
 
-    /// Ends a host's process or its machine. The end of a process resets its attempts.
+    /// Ends a host's process (`Dead`) or its machine (`Unreachable`). Only the end of the process resets its attempts
+    /// in flight.
     pub(crate) fn end_host(&self, host: HostIndex, status: HostStatus) {
         self.hosts.borrow_mut()[host.0].end(status);
         if status != HostStatus::Dead {
@@ -129,13 +130,13 @@
         }
     }
 
-    /// A request id that this run has not used.
+    /// Returns a request id that this run has not used.
     pub(crate) fn next_request(&self) -> RequestId {
         self.last_request.set(self.last_request.get() + 1);
         RequestId(self.last_request.get())
     }
 
-    /// The option that the scenario's variant takes at a point that is left open; `None` where there are no options.
+    /// Returns the option that the scenario's variant takes at a choice point, or `None` if there are none.
     pub(crate) fn choose<T: Copy>(
         &self,
         point: ChoicePoint,
@@ -148,7 +149,7 @@
             .copied()
     }
 
-    /// The one-way network delay between a limiter and a host.
+    /// Returns the one-way network delay between a limiter and a host.
     pub(crate) fn network_delay(&self, limiter: LimiterIndex, host: HostIndex) -> Duration {
         let processes = &self.scenario.processes;
         let same_zone = processes.limiters[limiter.as_usize()].zone == processes.hosts[host.0].zone;
@@ -159,8 +160,9 @@
         })
     }
 
-    /// Whether an operation was executed within the deduplication window; otherwise remembers its execution.
-    pub(crate) fn is_duplicate(&self, key: DeduplicationKey, window: Nanos) -> bool {
+    /// Returns whether an operation is a duplicate: executed before within the deduplication window. If it is not,
+    /// records its execution, which starts a new window.
+    pub(crate) fn register_execution(&self, key: DeduplicationKey, window: Nanos) -> bool {
         let now = self.now();
         let mut first_executions = self.first_executions.borrow_mut();
         let duplicate = first_executions
@@ -172,7 +174,7 @@
         duplicate
     }
 
-    /// The address at which a limiter accepts clients, while its process runs.
+    /// Returns the address at which a limiter accepts clients, or `None` while its process is not running.
     pub(crate) fn limiter_address(&self, limiter: LimiterIndex) -> Option<SocketAddr> {
         let limiters = self.limiters.borrow();
         limiters
--- a/crates/fakes/src/endpoints.rs
+++ b/crates/fakes/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! Hosts in the forms that limiters read: the endpoint list of discovery and the configuration file.
+//! Formats hosts as limiters read them: the endpoint list of discovery and the configuration file.
 
 use crate::context::Context;
 use quartzcleat_decision::api::{HostState, LimiterIndex};
@@ -6,19 +6,19 @@
 use quartzcleat_simulation::host::HostStatus;
 use serde_json::{json, Value};
 
-/// Added to a limiter's index for the seed in its configuration.
+/// The seed in the configuration of limiter 0. A limiter's index is added to it.
 const SEED_BASE: u64 = 0x9e37_79b9;
 
-/// Whether a list replaces all that a limiter knew.
+/// Whether an endpoint list replaces the one that a limiter has or updates it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ListKind {
-    /// All listed hosts.
+    /// All listed hosts; the limiter forgets the others.
     Full,
     /// Only the hosts that changed.
     Changes,
 }
 
-/// The state of a host as discovery reports it now.
+/// Returns the state of a host as discovery reports it now.
 pub(crate) fn host_state(context: &Context, host: HostIndex) -> HostState {
     let model = &context.hosts.borrow()[host.0].model;
     match (model.status, model.draining) {
@@ -28,7 +28,7 @@
     }
 }
 
-/// An endpoint list in discovery's form, with the addresses that one limiter uses.
+/// Returns an endpoint list in discovery's JSON format, with the hosts' addresses for one limiter.
 pub(crate) fn endpoint_list(
     context: &Context,
     limiter: LimiterIndex,
@@ -69,7 +69,7 @@
     })
 }
 
-/// A limiter's configuration in the platform's form.
+/// Returns a limiter's configuration in the platform's JSON format.
 pub(crate) fn limiter_config(context: &Context, limiter: LimiterIndex) -> Value {
     let scenario = &context.scenario;
     let mut settings = scenario.settings.clone();
--- a/crates/fakes/src/events.rs
+++ b/crates/fakes/src/events.rs
@@ -14,12 +14,13 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// A host's speed stays above zero, so that its work ends.
+/// The lowest speed of a host, relative to the reference speed. It is above zero so that work always ends.
 const MIN_HOST_SPEED: f64 = 1e-3;
-/// The sockets of an ended process are closed after this time.
+/// How long the sockets of an ended process may take to close, before another process takes over their addresses.
 const SOCKET_CLOSE_TIME: Duration = Duration::from_millis(1);
 
-/// Applies an event. The harness records its description and starts limiters.
+/// Applies an event, except `StartLimiter`, which the harness applies. The harness also records each event's
+/// description.
 pub(crate) async fn apply(context: &Rc<Context>, event: ScenarioEvent) {
     match event {
         ScenarioEvent::Request(request) => start_client(context, request),
@@ -96,14 +97,14 @@
     }
 }
 
-/// Adds a host's change to the endpoint list; limiters see it after the scenario's lag.
+/// Adds a host's change to the endpoint list; limiters see it after the scenario's discovery delay.
 pub(crate) fn announce_change(context: &Rc<Context>, host: HostIndex) {
-    let lag = context.choose(
+    let delay = context.choose(
         ChoicePoint::DiscoveryDelay,
         0,
         &context.scenario.discovery_delays,
     );
-    let lag = Duration::from_nanos(lag.unwrap_or(0));
+    let delay = Duration::from_nanos(delay.unwrap_or(0));
     let state = host_state(context, host);
     let version = {
         let mut discovery = context.discovery.borrow_mut();
@@ -115,7 +116,7 @@
     };
     let context = context.clone();
     spawn(async move {
-        sleep(lag).await;
+        sleep(delay).await;
         context.discovery.borrow_mut().publish(version);
     });
 }
--- a/crates/fakes/src/harness.rs
+++ b/crates/fakes/src/harness.rs
@@ -27,7 +27,7 @@
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
 /// How often readiness and the end of a run are polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// How long a run goes on after the last answer, so that a surplus attempt or answer is observed.
+/// How long a run continues after the last answer, so that a surplus attempt or answer is recorded.
 const OBSERVATION_TIME: Duration = Duration::from_millis(60);
 
 /// The records of a run and the resources that its limiters used.
@@ -35,23 +35,25 @@
 pub struct RunReport {
     /// The recorded events.
     pub records: Vec<Record>,
-    /// The resources used by each limiter that ran to the end.
+    /// The resources used by each limiter, by index; zero for one that is not running at the end.
     pub usage: Vec<Usage>,
 }
 
-/// Returns a limiter's product configuration (YAML) for a start, by the limiter and the number of its starts before.
+/// A function that returns the product configuration (YAML) for a start of a limiter, given the number of its earlier
+/// starts; `None` starts the limiter without one.
 type ProductConfig = Box<dyn Fn(LimiterIndex, usize) -> Option<String>>;
 
-/// Runs a scenario against real limiters: processes of `program`, which are started and ended here. Their
-/// configurations are written to `folder`.
+/// Runs a scenario against real limiters: processes of `program`, which this function starts and ends. Writes their
+/// configurations to `folder`.
 ///
 /// # Errors
-/// Fails where loopback, files or processes fail. What limiters do wrong is in the records instead.
+/// Returns an error if a socket, file or process operation fails, or if a limiter is not ready in time. Wrong
+/// behaviour of limiters is not an error: the records show it.
 pub fn run(scenario: &Scenario, program: &Path, folder: &Path) -> io::Result<Vec<Record>> {
     run_measured(scenario, program, folder).map(|report| report.records)
 }
 
-/// Like [`run`], also measuring what the limiters use.
+/// Like [`run`], and also measures the resources that the limiters use.
 ///
 /// # Errors
 /// As [`run`].
@@ -60,7 +62,7 @@
 }
 
 /// Like [`run_measured`], with product configurations: `product_config` is called for each start of a limiter, with the
-/// limiter and the number of its starts before.
+/// limiter and the number of its earlier starts. It returns `None` for a start without one.
 ///
 /// # Errors
 /// As [`run`].
@@ -82,14 +84,14 @@
     LocalSet::new().block_on(&runtime, harness.run())
 }
 
-/// An event of the scenario at the time that its variant chooses.
+/// An event at the time that the scenario's variant chooses for it.
 struct ScheduledEvent {
-    /// From the moment at which all limiters are ready.
+    /// Time since all limiters were ready.
     at: Duration,
     event: ScenarioEvent,
 }
 
-/// One run: the shared context, and what limiters are started with.
+/// One run: the shared context, and the program, files and configurations that limiters are started with.
 struct Harness {
     context: Rc<Context>,
     program: PathBuf,
@@ -132,7 +134,7 @@
         Ok(())
     }
 
-    /// Starts the counter and discovery for one limiter, and chooses the limiter's own address.
+    /// Starts the counter and discovery listeners for one limiter, and chooses the limiter's own address.
     async fn prepare_limiter(&self, limiter: LimiterIndex) -> io::Result<()> {
         let counter = TcpListener::bind("127.0.0.1:0").await?;
         let discovery = TcpListener::bind("127.0.0.1:0").await?;
@@ -159,7 +161,7 @@
         Ok(())
     }
 
-    /// Starts all limiters and waits until they are ready; returns the start of the run.
+    /// Starts all limiters and waits until they are ready. Returns the start time of the run.
     async fn start_limiters(&self) -> io::Result<Instant> {
         for limiter in self.limiters() {
             self.start_limiter(limiter).await?;
@@ -170,6 +172,7 @@
         Ok(Instant::now())
     }
 
+    /// Starts one limiter and waits until it answers `PING`.
     async fn start_limiter(&self, limiter: LimiterIndex) -> io::Result<()> {
         let config = limiter_config(&self.context, limiter);
         let address = {
@@ -189,7 +192,7 @@
             .map_err(|_| io::Error::other(format!("limiter {limiter} is not ready")))
     }
 
-    /// Records the hosts that a limiter's configuration names.
+    /// Records that a limiter learns the state of each listed host from its configuration.
     fn record_known_hosts(&self, limiter: LimiterIndex) {
         let listed = self.context.discovery.borrow().listed();
         for host in listed {
@@ -202,7 +205,7 @@
         }
     }
 
-    /// The scenario's events in the order of their times.
+    /// Returns the scenario's events sorted by time.
     fn schedule(&self) -> Vec<ScheduledEvent> {
         let steps = &self.context.scenario.steps;
         let at = |options: &[Nanos]| {
@@ -232,7 +235,7 @@
 
     async fn apply(&self, event: ScenarioEvent) -> io::Result<()> {
         if let Some(description) = event.describe(&self.context.scenario.processes) {
-            self.context.remark(description);
+            self.context.record_note(description);
         }
         if let ScenarioEvent::StartLimiter(limiter) = event {
             self.record_known_hosts(limiter);
@@ -242,7 +245,7 @@
         Ok(())
     }
 
-    /// Waits until all clients have their answers, or until the scenario's end.
+    /// Waits until no client waits for an answer, at most until the scenario's end, and then for [`OBSERVATION_TIME`].
     async fn wait_for_answers(&self, start: Instant) {
         let end = start + Duration::from_nanos(self.context.scenario.max_duration);
         while self.context.waiting_clients.get() > 0 && Instant::now() < end {
@@ -251,6 +254,7 @@
         sleep(OBSERVATION_TIME).await;
     }
 
+    /// Kills the limiters and collects the report.
     async fn finish(&self) -> RunReport {
         let mut limiters = std::mem::take(&mut *self.context.limiters.borrow_mut());
         let usage = limiters
@@ -267,8 +271,8 @@
     }
 }
 
-/// A loopback address that no other limiter of this process has. Without it another socket could take a limiter's port
-/// between the search for a free one and the limiter's start.
+/// Returns a loopback address that this process has given to no other limiter. On a shared address another socket could
+/// take the limiter's port after it was found to be free and before the limiter binds it.
 fn unused_ip() -> Ipv4Addr {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -1,13 +1,14 @@
 //! Fake hosts, counter, discovery service and clients on loopback. They run a [`quartzcleat_simulation::Scenario`]
-//! against real limiter processes and record what an outside observer sees, for the invariants that also judge the
-//! simulation. The protocols are implemented independently of the limiter; the capacity of hosts and the totals of the
-//! counter come from the simulation's own models, so that both harnesses run the same scenario.
+//! against real limiter processes and record the externally visible events, which are checked against the same
+//! invariants as the simulation's. The protocols are implemented independently of the limiter; the capacity of hosts
+//! and the totals of the counter come from the simulation's own models, so that a scenario means the same in both
+//! harnesses.
 //!
 //! Differences from the simulation: time is real; a connection that is refused for a single attempt appears as a
-//! rejection; a vanished machine still completes TCP handshakes.
+//! rejection; an unreachable machine still completes TCP handshakes.
 //!
 //! Modules depend on each other in one direction: `harness` -> `events` -> `client`, `server` -> `endpoints` ->
-//! `context` -> `state`, `limiter`, `recorder`; `process` is used outside too.
+//! `context` -> `state`, `limiter`, `recorder`. Other crates use `process` and `load` directly.
 
 mod client;
 mod context;
--- a/crates/fakes/src/limiter.rs
+++ b/crates/fakes/src/limiter.rs
@@ -1,4 +1,4 @@
-//! A limiter of a run: its process, its addresses, and how often it was started.
+//! One limiter of a run: its process, its addresses, and the number of its starts.
 
 use crate::process::{LimiterProcess, ProcessFiles};
 use std::io;
@@ -13,17 +13,17 @@
     pub(crate) counter: SocketAddr,
 }
 
-/// One limiter, running or not.
+/// One limiter, whether or not its process is running.
 pub(crate) struct Limiter {
     pub(crate) process: LimiterProcess,
     files: ProcessFiles,
     pub(crate) addresses: Addresses,
-    /// How often the process was started.
+    /// The number of times that the process was started.
     pub(crate) starts: usize,
 }
 
 impl Limiter {
-    /// A limiter that is not started yet.
+    /// Creates a limiter without starting its process.
     pub(crate) fn new(program: &Path, files: ProcessFiles, addresses: Addresses) -> Self {
         Limiter {
             process: LimiterProcess::new(program, files.clone()),
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Starts the process with the platform's configuration and, where one is given, a product configuration.
+    /// Writes the platform's configuration and starts the process, with `product_config` if there is one.
     pub(crate) fn start(
         &mut self,
         platform_config: &serde_json::Value,
--- a/crates/fakes/src/load.rs
+++ b/crates/fakes/src/load.rs
@@ -1,4 +1,4 @@
-//! Scenarios of steady load: limiters and hosts in one zone, and customers whose quotas reject nothing.
+//! Scenarios of steady load: all limiters and hosts are in one zone, and the customers' quotas reject no request.
 
 use quartzcleat_decision::api::{CellId, HostState, Nanos, PlanIndex, Settings, ZoneId};
 use quartzcleat_invariants::{Process, Processes};
@@ -9,32 +9,32 @@
 
 /// The plan of all customers.
 pub const PLAN: PlanIndex = PlanIndex(2);
-/// Cores of a host: enough that no request waits for one.
+/// The number of cores of a host, high enough that no request waits for one.
 const CORES_PER_HOST: u32 = 64;
-/// The one-way delay between any two processes.
+/// The one-way network delay between any two processes, in nanoseconds.
 const NETWORK_DELAY: Nanos = 100_000;
-/// The time in which the counter executes a call.
+/// The time that the counter takes to execute a call, in nanoseconds.
 const COUNTER_SERVICE_TIME: Nanos = 20_000;
-/// Rate and burst of the plan, in units: more than a load of any test.
+/// The plan's rate (units per second) and burst (units), higher than the load of any test.
 const UNLIMITED_UNITS: f64 = 100_000.0;
 
-/// The processes of a load.
+/// The numbers of processes and customers of a load, and the work of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadTopology {
-    /// Limiters.
+    /// The number of limiters.
     pub limiters: usize,
-    /// Hosts.
+    /// The number of hosts.
     pub hosts: usize,
-    /// Customers.
+    /// The number of customers.
     pub customers: usize,
-    /// The execution time of a request of any class.
+    /// The work of a request of any class: its execution time on a core of speed 1, in nanoseconds.
     pub work: Nanos,
 }
 
-/// A scenario of a load with its steps, which ends at `end` at the latest.
+/// Returns a scenario that applies `steps` and ends at `end` at the latest.
 ///
 /// # Panics
-/// Panics where the settings have no plan [`PLAN`].
+/// Panics if `settings` has no plan with index [`PLAN`].
 #[must_use]
 pub fn load_scenario(
     settings: &Settings,
@@ -76,7 +76,7 @@
     }
 }
 
-/// A step that sends a request at a time.
+/// Returns a step that sends `request` at time `at`, in nanoseconds from the start of the run.
 #[must_use]
 pub fn request_step(at: Nanos, request: ClientRequest) -> Step {
     Step {
--- a/crates/fakes/src/process.rs
+++ b/crates/fakes/src/process.rs
@@ -1,5 +1,4 @@
-//! Processes of the limiter as tests and tools start them: an environment without overrides, signals, and the resources
-//! used. It knows neither scenarios nor fake services.
+//! Limiter processes as tests and tools start them: an environment without overrides, signals, and resource usage. This module is independent of scenarios and fake services.
 
 use nix::unistd::Pid;
 use std::fs::OpenOptions;
@@ -12,7 +11,7 @@
 
 pub use nix::sys::signal::Signal;
 
-/// Variables that would override a configuration file or open a console.
+/// Environment variables that would override the configuration file or open a console.
 const OVERRIDING_VARIABLES: [&str; 6] = [
     "BALANCER_NAME",
     "BALANCER_LISTEN",
@@ -21,7 +20,7 @@
     "BALANCER_CONSOLE",
     "QUARTZCLEAT_CONFIG",
 ];
-/// A terminated process ends by itself within this time, or is killed.
+/// How long a process may take to end after SIGTERM before it is killed.
 const TERMINATION_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Resources that a process has used.
@@ -34,7 +33,7 @@
 }
 
 impl Usage {
-    /// The resources that a process has used so far, from procfs; zero where it does not run.
+    /// Reads the resources that a process has used so far from procfs; zero if it does not run.
     fn of_process(id: u32) -> Usage {
         let read =
             |name: &str| std::fs::read_to_string(format!("/proc/{id}/{name}")).unwrap_or_default();
@@ -50,6 +49,7 @@
     }
 }
 
+/// Returns the first word of `text` as a number, or zero if it is not one.
 fn first_number(text: &str) -> u64 {
     text.split_whitespace()
         .next()
@@ -57,8 +57,8 @@
         .unwrap_or(0)
 }
 
-/// A command that starts a limiter with the platform's configuration and nothing from this process's environment that
-/// would override it. The child has neither input nor output.
+/// Returns a command that starts a limiter with the platform's configuration, without the environment variables that
+/// would override it. Standard input, output and error of the child are the null device.
 pub fn limiter_command(program: &Path, platform_config: &Path) -> Command {
     let mut command = Command::new(program);
     for name in OVERRIDING_VARIABLES {
@@ -75,7 +75,7 @@
 /// Sends a signal to a process.
 ///
 /// # Errors
-/// Fails where no such process runs.
+/// Returns an error if no such process exists or the signal is not permitted.
 pub fn send_signal(process_id: u32, signal: Signal) -> io::Result<()> {
     nix::sys::signal::kill(Pid::from_raw(process_id as i32), signal)?;
     Ok(())
@@ -88,12 +88,12 @@
     pub platform_config: PathBuf,
     /// The product configuration (YAML).
     product_config: PathBuf,
-    /// The log, which all starts append to.
+    /// The log, to which every start appends.
     log: PathBuf,
 }
 
 impl ProcessFiles {
-    /// Files in a folder that differ in their extensions only.
+    /// Returns the paths `STEM.json`, `STEM.yaml` and `STEM.log` in a folder.
     #[must_use]
     pub fn in_folder(folder: &Path, stem: &str) -> Self {
         ProcessFiles {
@@ -104,7 +104,7 @@
     }
 }
 
-/// The process of one limiter, which may be started again after its end. It is killed at the latest when this value is
+/// The process of one limiter, which can be started again after its end. A running process is killed when this value is
 /// dropped.
 pub struct LimiterProcess {
     program: PathBuf,
@@ -113,7 +113,7 @@
 }
 
 impl LimiterProcess {
-    /// A process that is not started yet.
+    /// Creates the value without starting a process.
     #[must_use]
     pub fn new(program: &Path, files: ProcessFiles) -> Self {
         LimiterProcess {
@@ -123,11 +123,11 @@
         }
     }
 
-    /// Starts the process with the platform's configuration as it is in its file and, where one is given, a product
-    /// configuration. Only with the latter is the log kept.
+    /// Starts the process with the platform's configuration file, which must exist, and with a product configuration if
+    /// one is given. The log is kept only if it is given.
     ///
     /// # Errors
-    /// Fails where files cannot be written or the program cannot be started.
+    /// Returns an error if a file cannot be written or the program cannot be started.
     pub fn start(&mut self, product_config: Option<&str>) -> io::Result<()> {
         let mut command = limiter_command(&self.program, &self.files.platform_config);
         if let Some(text) = product_config {
@@ -147,18 +147,20 @@
         Ok(())
     }
 
-    /// Whether the process was started and not taken out or ended since.
+    /// Returns whether the process was started and neither ended nor removed through this value since. A process that
+    /// exited by itself still counts as running.
     #[must_use]
     pub fn is_running(&self) -> bool {
         self.running.is_some()
     }
 
-    /// Takes the running process out, so that it can be ended without a borrow of this value.
+    /// Removes and returns the running process, so that it can be ended without a borrow of this value. `None` if none
+    /// was started.
     pub fn take_running(&mut self) -> Option<RunningProcess> {
         self.running.take()
     }
 
-    /// Sends a signal, where the process runs.
+    /// Sends a signal if the process runs.
     pub fn signal(&self, signal: Signal) {
         if let Some(running) = &self.running {
             running.signal(signal);
@@ -172,14 +174,14 @@
         }
     }
 
-    /// Asks the process to end, and kills it where it does not in time.
+    /// Sends SIGTERM, and kills the process if it does not end within 10 s.
     pub async fn terminate(&mut self) {
         if let Some(running) = self.take_running() {
             running.terminate().await;
         }
     }
 
-    /// The resources that the process has used so far; zero where it does not run.
+    /// Returns the resources that the process has used so far; zero if it does not run.
     #[must_use]
     pub fn usage(&self) -> Usage {
         let id = self.running.as_ref().and_then(|running| running.0.id());
@@ -198,7 +200,7 @@
         }
     }
 
-    /// Kills the process.
+    /// Kills the process and waits until it has ended.
     pub async fn kill(mut self) {
         // A process that has ended already needs no signal.
         let _ = self.0.kill().await;
--- a/crates/fakes/src/recorder.rs
+++ b/crates/fakes/src/recorder.rs
@@ -1,4 +1,4 @@
-//! The records of a run, with the attempts that are still in flight at hosts.
+//! Collects the records of a run and tracks the attempts in flight at each host.
 
 use quartzcleat_decision::api::{AttemptIndex, Nanos, RequestId};
 use quartzcleat_invariants::{Fact, HostIndex, Record};
@@ -20,7 +20,7 @@
 }
 
 impl Recorder {
-    /// Records an event. The end of an attempt is recorded once, whoever observes it first.
+    /// Records an event. The end of an attempt is recorded only once, although several tasks may observe it.
     pub(crate) fn record(&mut self, at: Nanos, event: Fact) {
         if !self.is_repeated_end(&event) {
             self.track_attempt(&event);
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Whether an event is the end of an attempt that has ended already.
+    /// Returns whether an event is the end of an attempt that is not in flight any more.
     fn is_repeated_end(&self, event: &Fact) -> bool {
         match *event {
             Fact::AttemptEnded {
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Follows the attempts in flight.
+    /// Updates the attempts in flight.
     fn track_attempt(&mut self, event: &Fact) {
         match *event {
             Fact::AttemptSent {
@@ -58,7 +58,7 @@
         }
     }
 
-    /// The attempts in flight at a host.
+    /// Returns the attempts in flight at a host.
     pub(crate) fn in_flight_at(&self, host: HostIndex) -> Vec<AttemptId> {
         self.in_flight
             .iter()
--- a/crates/fakes/src/resp.rs
+++ b/crates/fakes/src/resp.rs
@@ -1,5 +1,5 @@
-//! RESP2 as the fakes need it: commands and replies, parsed and encoded. Bounded, and written apart from the limiter's
-//! own parsers, so that the two check each other.
+//! Parses and encodes the RESP2 commands and replies that the fakes use. Message sizes are bounded. The parsers are
+//! independent of the limiter's, so that each implementation checks the other.
 
 use std::io;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWriteExt};
@@ -8,26 +8,26 @@
 #[cfg(test)]
 mod tests;
 
-/// The longest argument or value.
+/// The length limit of an argument or value, in bytes.
 const MAX_VALUE_BYTES: usize = 256 << 10;
-/// The most input that is buffered for one message.
+/// The limit of buffered input, in bytes. It holds one message of the longest value.
 const MAX_BUFFERED_BYTES: usize = 2 * MAX_VALUE_BYTES;
 const MAX_ARGUMENTS: i64 = 16;
 
-/// A message and the bytes that it takes.
+/// A parsed message and its encoded length in bytes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Parsed<T> {
     pub(crate) value: T,
     pub(crate) length: usize,
 }
 
-/// A line without its end, and where the next one begins.
+/// A line without its CRLF, and the position of the next one.
 struct Line<'a> {
     text: &'a [u8],
     next: usize,
 }
 
-/// A reply as a client reads it.
+/// A reply to a client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Reply {
     /// A bulk string.
@@ -40,8 +40,9 @@
     io::Error::new(io::ErrorKind::InvalidData, reason.to_owned())
 }
 
+/// Returns the line that begins at `start`, or `None` while its CRLF is missing.
 fn line_at(bytes: &[u8], start: usize) -> Option<Line<'_>> {
-    let length = bytes[start..].windows(2).position(|two| two == b"\r\n")?;
+    let length = bytes[start..].windows(2).position(|pair| pair == b"\r\n")?;
     Some(Line {
         text: &bytes[start..start + length],
         next: start + length + 2,
@@ -55,7 +56,7 @@
         .ok_or_else(|| malformed("a length is not a number"))
 }
 
-/// The command at the start of `bytes` as its arguments; `None` while it is incomplete.
+/// Parses the command at the start of `bytes` into its arguments. Returns `None` while it is incomplete.
 pub(crate) fn parse_command(bytes: &[u8]) -> io::Result<Option<Parsed<Vec<String>>>> {
     let Some(head) = line_at(bytes, 0) else {
         return Ok(None);
@@ -82,7 +83,7 @@
     }))
 }
 
-/// The bulk string of an argument at `start`.
+/// Parses the argument (a bulk string) at `start`. Returns `None` while it is incomplete.
 fn parse_argument(bytes: &[u8], start: usize) -> io::Result<Option<Parsed<String>>> {
     let Some(head) = line_at(bytes, start) else {
         return Ok(None);
@@ -98,7 +99,7 @@
     Ok(bulk_text(bytes, start, &head, length))
 }
 
-/// The text of a bulk string that starts at `start` with the line `head`; `None` while it is incomplete.
+/// Returns the text of the bulk string that starts at `start` with the line `head`, or `None` while it is incomplete.
 fn bulk_text(bytes: &[u8], start: usize, head: &Line<'_>, length: usize) -> Option<Parsed<String>> {
     let end = head.next + length;
     if bytes.len() < end + 2 {
@@ -110,7 +111,7 @@
     })
 }
 
-/// The reply at the start of `bytes`; `None` while it is incomplete.
+/// Parses the reply at the start of `bytes`. Returns `None` while it is incomplete.
 pub(crate) fn parse_reply(bytes: &[u8]) -> io::Result<Option<Parsed<Reply>>> {
     let Some(head) = line_at(bytes, 0) else {
         return Ok(None);
@@ -133,7 +134,7 @@
     }
 }
 
-/// The bytes of a command.
+/// Encodes a command as an array of bulk strings.
 pub(crate) fn encode_command(arguments: &[&str]) -> Vec<u8> {
     let bulk_strings: Vec<String> = arguments
         .iter()
@@ -142,7 +143,7 @@
     format!("*{}\r\n{}", arguments.len(), bulk_strings.concat()).into_bytes()
 }
 
-/// Reads more input; `false` at the end of the connection.
+/// Reads more input. Returns `false` at the end of the connection.
 pub(crate) async fn read_more(
     stream: &mut (impl AsyncRead + Unpin),
     input: &mut Vec<u8>,
@@ -153,7 +154,7 @@
     Ok(stream.read_buf(input).await? > 0)
 }
 
-/// A connection that carries commands to a server.
+/// The server's side of a connection that carries commands.
 pub(crate) struct CommandStream {
     stream: TcpStream,
     input: Vec<u8>,
@@ -167,7 +168,7 @@
         }
     }
 
-    /// The arguments of the next command; `None` at the end of the connection.
+    /// Reads the next command and returns its arguments, or `None` at the end of the connection.
     pub(crate) async fn next_command(&mut self) -> io::Result<Option<Vec<String>>> {
         loop {
             if let Some(command) = parse_command(&self.input)? {
@@ -180,13 +181,13 @@
         }
     }
 
-    /// Writes an encoded answer.
+    /// Writes an answer that is already encoded.
     pub(crate) async fn write(&mut self, answer: &str) -> io::Result<()> {
         self.stream.write_all(answer.as_bytes()).await
     }
 
-    /// Waits until the peer closes the connection. A byte that arrives in the meantime counts as the end, since a limiter
-    /// writes nothing behind an open attempt.
+    /// Waits until the peer closes the connection. A byte that arrives first also ends the wait, since a limiter writes
+    /// nothing after an attempt that is not answered yet.
     pub(crate) async fn closed(&self) {
         let mut byte = [0];
         while self.stream.readable().await.is_ok() {
--- a/crates/fakes/src/resp/tests.rs
+++ b/crates/fakes/src/resp/tests.rs
@@ -1,4 +1,4 @@
-//! Commands and replies, complete and cut.
+//! Tests of parsing: complete, truncated and malformed commands and replies.
 
 use super::*;
 
@@ -21,7 +21,7 @@
     let bytes = encode_command(&ARGUMENTS);
     assert!((0..bytes.len()).all(|cut| {
         parse_command(&bytes[..cut])
-            .expect("a cut command is not malformed")
+            .expect("a truncated command is not malformed")
             .is_none()
     }));
 }
--- a/crates/fakes/src/server/counter.rs
+++ b/crates/fakes/src/server/counter.rs
@@ -1,4 +1,4 @@
-//! The fake counter: `ADDGET` calls, answered in order on each connection, with the simulation's model of totals and
+//! The fake counter: answers `ADDGET` calls in order on each connection, using the simulation's model of totals and
 //! queues.
 
 use crate::context::Context;
@@ -20,12 +20,12 @@
 struct Call<'a> {
     name: &'a str,
     amount: f64,
-    /// How long the total is kept.
+    /// How long the total is kept, in nanoseconds.
     lifetime: Nanos,
 }
 
 impl<'a> Call<'a> {
-    /// Parses the numbers of a call; `None` where they are malformed.
+    /// Parses the numbers of a call. Returns `None` if one is malformed.
     fn parse(name: &'a str, amount: &str, lifetime_ms: &str) -> Option<Self> {
         let lifetime_ms: u64 = lifetime_ms.parse().ok()?;
         Some(Call {
@@ -51,7 +51,7 @@
                     None => "-ERR no number\r\n".to_owned(),
                     Some(call) => match answer_call(&context, limiter, &call).await {
                         Some(answer) => answer,
-                        // A call without an answer holds up all calls behind it on its connection.
+                        // Answers are in order: a call without one blocks all later calls on its connection.
                         None => return std::future::pending().await,
                     },
                 }
@@ -65,11 +65,11 @@
     Ok(())
 }
 
-/// The answer to a call; `None` where there never is one.
+/// Returns the encoded answer to a call, or `None` if the call is never answered.
 async fn answer_call(context: &Context, limiter: LimiterIndex, call: &Call<'_>) -> Option<String> {
     let number = context.counter.borrow_mut().next_call(limiter);
-    let fates = &context.scenario.counter.call_outcomes;
-    match context.choose(ChoicePoint::CounterCall, number, fates) {
+    let outcomes = &context.scenario.counter.call_outcomes;
+    match context.choose(ChoicePoint::CounterCall, number, outcomes) {
         Some(CounterCallOutcome::Normal) | None => {}
         Some(CounterCallOutcome::RequestLost) => return None,
         Some(CounterCallOutcome::AnswerLost) => {
@@ -95,7 +95,7 @@
     }
 }
 
-/// Executes a call now.
+/// Executes a call at the current time.
 fn execute(context: &Context, call: &Call<'_>) -> CounterReply {
     let now = context.now();
     let mut counter = context.counter.borrow_mut();
--- a/crates/fakes/src/server/discovery.rs
+++ b/crates/fakes/src/server/discovery.rs
@@ -1,5 +1,5 @@
-//! The fake discovery service over HTTP: full endpoint lists, and watches that wait for changes. Each limiter has a
-//! listener of its own, so that the records name the limiter that was notified.
+//! The fake discovery service over HTTP: full endpoint lists, and watches that wait for changes. Each limiter has its
+//! own listener, so that the records name the limiter that was notified.
 
 use crate::context::Context;
 use crate::endpoints::{endpoint_list, host_state, ListKind};
@@ -15,7 +15,7 @@
 
 const MAX_HEAD_BYTES: usize = 16 << 10;
 const END_OF_HEAD: &[u8] = b"\r\n\r\n";
-/// The longest wait of a watch.
+/// The limit of a watch's wait, in milliseconds.
 const MAX_WAIT_MS: u64 = 60_000;
 
 /// The answer to a call.
@@ -45,7 +45,7 @@
     }
 }
 
-/// Removes the first complete request from the input and returns its path.
+/// Removes the first complete request from the input and returns its path with the query, or `None` if there is none.
 fn take_request_path(input: &mut Vec<u8>) -> Option<String> {
     let end = input
         .windows(END_OF_HEAD.len())
@@ -70,6 +70,7 @@
     )
 }
 
+/// Records the host states that an answer told a limiter.
 fn record_notified(context: &Context, limiter: LimiterIndex, answer: &Answer) {
     for host in &answer.hosts {
         context.record(Fact::HostStateLearned {
@@ -80,7 +81,7 @@
     }
 }
 
-/// Waits as long as a call demands, and answers it.
+/// Waits for a watch's change or its time limit, and until discovery answers, and returns the answer to the call.
 async fn answer_call(context: &Context, path: &str) -> Answer {
     let EndpointChanges {
         mut published,
@@ -90,10 +91,11 @@
     if let Some(index) = index {
         let wait_ms = query_number(path, "wait").unwrap_or(0).min(MAX_WAIT_MS);
         let changed = published.wait_for(|version| *version > index);
-        // Without a change in time the call is answered with an empty list.
+        // If nothing changes in time, the answer is an empty list of changes.
         let _ = timeout(Duration::from_millis(wait_ms), changed).await;
     }
-    // Silence holds back every answer. The sender lives as long as the context, so that the wait does not fail.
+    // While discovery does not answer, every call waits. The sender lives as long as the context, so the wait cannot
+    // fail.
     let _ = answering.wait_for(|answering| *answering).await;
     let discovery = context.discovery.borrow();
     let generation = discovery.generation();
@@ -111,6 +113,7 @@
     }
 }
 
+/// Returns the value of a query parameter, or `None` if it is absent or no number.
 fn query_number(path: &str, name: &str) -> Option<u64> {
     let (_, query) = path.split_once('?')?;
     query.split('&').find_map(|pair| {
--- a/crates/fakes/src/server/host.rs
+++ b/crates/fakes/src/server/host.rs
@@ -1,4 +1,5 @@
-//! The process of a fake host: its start and end, a listener for each limiter, and the connections of attempts.
+//! The process of a fake host: its start and end, its listener for each limiter, and the connections that carry
+//! attempts.
 
 use crate::context::Context;
 use crate::resp::CommandStream;
@@ -16,10 +17,10 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// How often a host tries to take over the address of an ended process.
+/// How often a host tries to bind the address of an ended process.
 const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(1);
 
-/// Starts to accept connections, where the host's process runs.
+/// Starts to accept connections if the host's process runs.
 pub(crate) fn start_process(context: &Rc<Context>, host: HostIndex) {
     let endpoints = {
         let mut hosts = context.hosts.borrow_mut();
@@ -34,10 +35,12 @@
     }
 }
 
-fn has_vanished(context: &Context, host: HostIndex) -> bool {
+/// Returns whether the host's machine is unreachable.
+fn is_unreachable(context: &Context, host: HostIndex) -> bool {
     context.hosts.borrow()[host.0].model.status == HostStatus::Unreachable
 }
 
+/// Accepts one limiter's connections until the host's process ends.
 async fn listen(context: Rc<Context>, limiter: LimiterIndex, host: HostIndex, endpoint: Endpoint) {
     let Endpoint {
         address,
@@ -59,13 +62,13 @@
             }
         }
     }
-    if has_vanished(&context, host) {
-        // A vanished machine keeps its sockets and answers nothing.
+    if is_unreachable(&context, host) {
+        // The sockets of an unreachable machine stay open, but nothing is answered.
         std::future::pending::<()>().await;
     }
 }
 
-/// Binds an address as soon as the process before has closed it.
+/// Binds an address as soon as the previous process has released it.
 async fn bind_when_free(address: SocketAddr) -> TcpListener {
     loop {
         match TcpListener::bind(address).await {
@@ -75,13 +78,14 @@
     }
 }
 
+/// Serves a connection until it ends or the host's process does.
 async fn until_process_ends(
     connection: impl std::future::Future<Output = io::Result<()>>,
     mut process_ended: watch::Receiver<u64>,
 ) {
     tokio::select! {
         _ = process_ended.changed() => {}
-        // The limiter sees the end of a failed connection; the host has nothing to add.
+        // A failed connection is closed, which the limiter observes; there is nothing else to report.
         _ = connection => {}
     }
 }
@@ -94,7 +98,7 @@
 ) -> io::Result<()> {
     let mut stream = CommandStream::new(stream);
     while let Some(arguments) = stream.next_command().await? {
-        if has_vanished(&context, host) {
+        if is_unreachable(&context, host) {
             return std::future::pending().await;
         }
         let arguments: Vec<&str> = arguments.iter().map(String::as_str).collect();
--- a/crates/fakes/src/server/host_attempt.rs
+++ b/crates/fakes/src/server/host_attempt.rs
@@ -1,5 +1,5 @@
-//! One attempt at a fake host: queued, executed or dropped as a duplicate by the simulation's model, and answered as the
-//! scenario's outcome for it demands.
+//! One attempt at a fake host. The simulation's model queues it, executes it or drops it as a duplicate; the answer
+//! follows the outcome that the scenario chooses.
 
 use crate::context::{Context, DeduplicationKey};
 use crate::resp::CommandStream;
@@ -17,12 +17,12 @@
 use tokio::sync::oneshot;
 use tokio::time::sleep;
 
-/// Work of a request whose class has none in the scenario.
+/// The work of a request whose class has none in the scenario: its execution time on a core of speed 1, in nanoseconds.
 const DEFAULT_WORK: Nanos = 100_000_000;
-/// Time that a host takes to drop a duplicate.
+/// The time that a host takes to answer a duplicate without executing it, in nanoseconds.
 const DUPLICATE_TIME: Nanos = 1_000_000;
 
-/// Whether the connection of an attempt stays open.
+/// Whether the connection of an attempt stays open after it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AfterAttempt {
     KeepOpen,
@@ -38,20 +38,20 @@
     /// The connection is closed without an answer.
     Reset,
     /// The connection stays open without an answer.
-    Silence,
+    NoAnswer,
 }
 
-/// An attempt as its host knows it.
+/// An attempt that has reached a host.
 #[derive(Clone, Copy)]
 struct Attempt {
     host: HostIndex,
-    job: AttemptKey,
+    key: AttemptKey,
     class: ClassIndex,
     /// The operation that the client wants executed.
     operation: u64,
 }
 
-/// Serves one attempt.
+/// Serves one attempt: executes it, writes its answer and records its end.
 pub(crate) async fn serve(
     context: &Rc<Context>,
     limiter: LimiterIndex,
@@ -67,7 +67,7 @@
         reply = execute(context, &attempt) => reply,
         () = stream.closed() => {
             // The limiter cancelled the attempt: it leaves the host's queue.
-            context.hosts.borrow_mut()[host.0].model.cancel(attempt.job);
+            context.hosts.borrow_mut()[host.0].model.cancel(attempt.key);
             record_end(context, &attempt, Outcome::Cancelled);
             return Ok(AfterAttempt::Close);
         }
@@ -76,7 +76,7 @@
     answer(context, &attempt, reply, stream).await
 }
 
-/// Counts and records an attempt; `None` where its request is unknown.
+/// Counts and records an attempt. Returns `None` if its request is unknown.
 fn begin(
     context: &Context,
     limiter: LimiterIndex,
@@ -89,7 +89,7 @@
         state.attempts += 1;
         Attempt {
             host,
-            job: AttemptKey {
+            key: AttemptKey {
                 limiter,
                 request,
                 attempt: AttemptIndex(state.attempts - 1),
@@ -107,7 +107,7 @@
     context.record(Fact::AttemptSent {
         limiter,
         request,
-        attempt: attempt.job.attempt,
+        attempt: attempt.key.attempt,
         host,
         warming_up: capacity_factor < 1.0,
     });
@@ -116,14 +116,14 @@
 
 fn record_end(context: &Context, attempt: &Attempt, outcome: Outcome) {
     context.record(Fact::AttemptEnded {
-        request: attempt.job.request,
-        attempt: attempt.job.attempt,
+        request: attempt.key.request,
+        attempt: attempt.key.attempt,
         outcome,
     });
 }
 
-/// Writes the answer. The end is recorded first: once the answer is written, the limiter may send the next attempt
-/// before this task goes on.
+/// Writes the answer. The end is recorded first, since the limiter may send its next attempt as soon as the answer is
+/// written, before this task resumes.
 async fn answer(
     context: &Context,
     attempt: &Attempt,
@@ -148,7 +148,7 @@
             record_end(context, attempt, Outcome::Reset);
             return Ok(AfterAttempt::Close);
         }
-        HostReply::Silence => {
+        HostReply::NoAnswer => {
             stream.closed().await;
             record_end(context, attempt, Outcome::Timeout);
             return Ok(AfterAttempt::Close);
@@ -157,9 +157,9 @@
     Ok(AfterAttempt::KeepOpen)
 }
 
-/// A successful answer, which reports the true cost where the scenario has one.
+/// Encodes a successful answer, which reports the operation's true cost if the scenario has one, and records that cost.
 fn value_text(context: &Context, attempt: &Attempt) -> String {
-    let request = attempt.job.request;
+    let request = attempt.key.request;
     let cost = cost(&context.scenario, attempt.operation);
     let report = if cost > 0.0 {
         context.record(Fact::UnitsSettled {
@@ -174,7 +174,7 @@
     format!("*3\r\n$16\r\n{:016x}\r\n{report}\r\n$-1\r\n", request.0)
 }
 
-/// The true cost of an operation, in units; zero where the scenario has none.
+/// Returns the true cost of an operation in units, or zero if the scenario has none.
 fn cost(scenario: &Scenario, operation: u64) -> f64 {
     let request = scenario.steps.iter().find_map(|step| match &step.event {
         ScenarioEvent::Request(request) if request.operation == operation => Some(request),
@@ -183,9 +183,9 @@
     request.map_or(0.0, |request| request.true_units)
 }
 
-/// Executes an attempt, or ends it as the outcome that the scenario chose demands.
+/// Executes an attempt, unless the scenario's outcome for it ends it earlier. Returns the host's reply.
 async fn execute(context: &Rc<Context>, attempt: &Attempt) -> HostReply {
-    let number = attempt.job.attempt.as_usize();
+    let number = attempt.key.attempt.as_usize();
     let outcome = context.choose(
         ChoicePoint::Attempt,
         number,
@@ -195,30 +195,30 @@
     match outcome {
         AttemptOutcome::Rejected | AttemptOutcome::ConnectionRefused => return HostReply::Busy,
         AttemptOutcome::ResetBeforeExecution => return HostReply::Reset,
-        AttemptOutcome::RequestLost => return HostReply::Silence,
+        AttemptOutcome::RequestLost => return HostReply::NoAnswer,
         AttemptOutcome::Normal
         | AttemptOutcome::Error
         | AttemptOutcome::ResetAfterExecution
         | AttemptOutcome::AnswerLost
         | AttemptOutcome::Late => {}
     }
-    if let Err(reply) = reach_core(context, attempt).await {
+    if let Err(reply) = acquire_core(context, attempt).await {
         return reply;
     }
     let done = start_work(context, attempt);
     match outcome {
         AttemptOutcome::Error => return HostReply::Error,
         AttemptOutcome::ResetAfterExecution => return HostReply::Reset,
-        AttemptOutcome::AnswerLost => return HostReply::Silence,
+        AttemptOutcome::AnswerLost => return HostReply::NoAnswer,
         _ => {}
     }
-    // The work's task ends by sending; there is nothing to learn from a failure.
+    // The task always sends at the end of the work, so an error would carry no information.
     let _ = done.await;
     if outcome == AttemptOutcome::Late {
         sleep(latency_objective(context, attempt.class)).await;
     }
     if context.hosts.borrow()[attempt.host.0].model.status == HostStatus::Unreachable {
-        return HostReply::Silence;
+        return HostReply::NoAnswer;
     }
     HostReply::Value
 }
@@ -233,12 +233,15 @@
     Duration::from_nanos(class.map_or(0, |class| class.latency_objective))
 }
 
-/// Waits until a core of the host is free for the attempt; the error is the reply where none ever is.
-async fn reach_core(context: &Rc<Context>, attempt: &Attempt) -> Result<(), HostReply> {
+/// Waits until the host has a free core for the attempt.
+///
+/// # Errors
+/// Returns the host's reply if the attempt never gets a core.
+async fn acquire_core(context: &Rc<Context>, attempt: &Attempt) -> Result<(), HostReply> {
     let now = context.now();
     let work = work(context, attempt.class);
     let arrival = context.hosts.borrow_mut()[attempt.host.0].model.receive(
-        attempt.job,
+        attempt.key,
         work,
         &context.scenario.ground_truth,
         now,
@@ -246,12 +249,12 @@
     match arrival {
         Arrival::Started => Ok(()),
         Arrival::Queued => {
-            let started = context.hosts.borrow_mut()[attempt.host.0].enqueue(attempt.job);
+            let started = context.hosts.borrow_mut()[attempt.host.0].enqueue(attempt.key);
             started.await.map_err(|_| HostReply::Reset)
         }
         Arrival::Rejected => Err(HostReply::Busy),
         Arrival::ConnectionRefused => Err(HostReply::Reset),
-        Arrival::Lost => Err(HostReply::Silence),
+        Arrival::Lost => Err(HostReply::NoAnswer),
         Arrival::Overloads => {
             context.record(Fact::HostOverloaded { host: attempt.host });
             context.end_host(attempt.host, HostStatus::Dead);
@@ -260,13 +263,13 @@
     }
 }
 
-/// Starts the work, which goes on after its connection is closed; the receiver resolves at its end.
+/// Starts the work and returns a receiver that resolves at its end. The work continues if its connection is closed.
 fn start_work(context: &Rc<Context>, attempt: &Attempt) -> oneshot::Receiver<()> {
     let host = attempt.host;
-    let deduplicated = is_duplicate(context, attempt);
+    let deduplicated = register_execution(context, attempt);
     context.record(Fact::Executed {
         host,
-        request: attempt.job.request,
+        request: attempt.key.request,
         deduplicated,
     });
     let work = work(context, attempt.class);
@@ -284,14 +287,15 @@
     spawn(async move {
         sleep(duration).await;
         context.hosts.borrow_mut()[host.0].finish_job(process_start);
-        // An attempt whose connection is gone does not wait for the end of its work.
+        // The receiver is gone if the attempt did not wait for the end of its work.
         let _ = finish.send(());
     });
     finished
 }
 
-/// Whether the host's group has executed the attempt's operation within the deduplication window of its class.
-fn is_duplicate(context: &Context, attempt: &Attempt) -> bool {
+/// Returns whether the host's group has executed the attempt's operation within the deduplication window of its class.
+/// If it has not, records the execution.
+fn register_execution(context: &Context, attempt: &Attempt) -> bool {
     let class = context
         .scenario
         .ground_truth
@@ -310,5 +314,5 @@
         group,
         operation: attempt.operation,
     };
-    context.is_duplicate(key, class.dedup_window)
+    context.register_execution(key, class.dedup_window)
 }
--- a/crates/fakes/src/server/mod.rs
+++ b/crates/fakes/src/server/mod.rs
@@ -1,4 +1,4 @@
-//! The servers of the fakes: protocols in front of the shared state.
+//! The servers of the fakes, which implement the protocols on top of the shared state.
 
 pub(crate) mod counter;
 pub(crate) mod discovery;
@@ -13,19 +13,19 @@
 use std::rc::Rc;
 use tokio::net::{TcpListener, TcpStream};
 
-/// Accepts one limiter's connections until the listener fails, and serves each of them in a task of its own.
-pub(crate) async fn accept_connections<Serving>(
+/// Accepts one limiter's connections until the listener fails, and serves each of them in its own task.
+pub(crate) async fn accept_connections<ServeFuture>(
     context: Rc<Context>,
     limiter: LimiterIndex,
     listener: TcpListener,
-    serve_connection: fn(Rc<Context>, LimiterIndex, TcpStream) -> Serving,
+    serve_connection: fn(Rc<Context>, LimiterIndex, TcpStream) -> ServeFuture,
 ) where
-    Serving: Future<Output = io::Result<()>> + 'static,
+    ServeFuture: Future<Output = io::Result<()>> + 'static,
 {
     while let Ok((stream, _)) = listener.accept().await {
         disable_nagle(&stream);
         let serving = serve_connection(context.clone(), limiter, stream);
-        // The limiter sees the end of a failed connection; the server has nothing to add.
+        // A failed connection is closed, which the limiter observes; there is nothing else to report.
         spawn(async move { drop(serving.await) });
     }
 }
--- a/crates/fakes/src/state/counter.rs
+++ b/crates/fakes/src/state/counter.rs
@@ -7,7 +7,7 @@
 /// The state of the fake counter.
 pub(crate) struct FakeCounter {
     pub(crate) model: Counter,
-    /// Calls so far, by limiter.
+    /// The number of calls so far, by limiter index.
     calls: Vec<usize>,
 }
 
@@ -19,7 +19,7 @@
         }
     }
 
-    /// Counts a limiter's call and returns its index, from zero.
+    /// Counts a limiter's call and returns its index among the limiter's calls, starting at zero.
     pub(crate) fn next_call(&mut self, limiter: LimiterIndex) -> usize {
         let limiters = self.calls.len().max(limiter.as_usize() + 1);
         self.calls.resize(limiters, 0);
--- a/crates/fakes/src/state/discovery.rs
+++ b/crates/fakes/src/state/discovery.rs
@@ -8,15 +8,15 @@
 
 /// The state of the fake discovery service.
 pub(crate) struct FakeDiscovery {
-    /// The host of each change, in their order.
+    /// The host of each change, oldest first. The change at index `i` has version `FIRST_GENERATION + i + 1`.
     changes: Vec<HostIndex>,
-    /// The newest version that limiters may see.
+    /// The latest version that limiters may see.
     published: watch::Sender<u64>,
     listed: Vec<HostIndex>,
     answering: watch::Sender<bool>,
 }
 
-/// Receivers for a call that waits for the endpoint list.
+/// Receivers for a call that waits for a change of the endpoint list.
 pub(crate) struct EndpointChanges {
     pub(crate) published: watch::Receiver<u64>,
     pub(crate) answering: watch::Receiver<bool>,
@@ -32,29 +32,29 @@
         }
     }
 
-    /// Lists a host from the start.
+    /// Adds a host to the list before any change.
     pub(crate) fn list_initially(&mut self, host: HostIndex) {
         self.listed.push(host);
     }
 
-    /// The hosts that are listed.
+    /// Returns the listed hosts, including those whose change is not published yet.
     pub(crate) fn listed(&self) -> Vec<HostIndex> {
         self.listed.clone()
     }
 
-    /// The newest published version.
+    /// Returns the latest published version.
     pub(crate) fn generation(&self) -> u64 {
         *self.published.borrow()
     }
 
-    /// Adds a change of a host that is still listed; returns its version.
+    /// Adds a change of a host that stays listed, or is listed from now on. Returns the version of the change.
     pub(crate) fn update(&mut self, host: HostIndex) -> u64 {
         self.listed.retain(|listed| *listed != host);
         self.listed.push(host);
         self.add_change(host)
     }
 
-    /// Adds a change that removes a host; returns its version.
+    /// Adds a change that removes a host. Returns the version of the change.
     pub(crate) fn remove(&mut self, host: HostIndex) -> u64 {
         self.listed.retain(|listed| *listed != host);
         self.add_change(host)
@@ -65,18 +65,18 @@
         self.changes.len() as u64 + FIRST_GENERATION
     }
 
-    /// Lets limiters see all changes up to a version.
+    /// Makes all changes up to a version visible to limiters.
     pub(crate) fn publish(&mut self, version: u64) {
         self.published
             .send_modify(|published| *published = version.max(*published));
     }
 
-    /// Holds back all answers, or gives them again.
+    /// Sets whether discovery answers calls. While it does not, calls wait.
     pub(crate) fn set_answering(&mut self, answering: bool) {
         self.answering.send_replace(answering);
     }
 
-    /// Subscribes to new versions and to silence.
+    /// Subscribes to published versions and to whether discovery answers.
     pub(crate) fn subscribe(&self) -> EndpointChanges {
         EndpointChanges {
             published: self.published.subscribe(),
@@ -84,7 +84,7 @@
         }
     }
 
-    /// The hosts that changed after version `from` and up to version `to`, each once.
+    /// Returns the hosts that changed after version `from` and up to version `to`, without duplicates.
     pub(crate) fn changed_between(&self, from: u64, to: u64) -> Vec<HostIndex> {
         let first = (from.max(FIRST_GENERATION) - FIRST_GENERATION) as usize;
         let end = (to.max(FIRST_GENERATION) - FIRST_GENERATION) as usize;
--- a/crates/fakes/src/state/host.rs
+++ b/crates/fakes/src/state/host.rs
@@ -1,4 +1,5 @@
-//! A fake host: a listener for each limiter, and the simulation's model of cores, queue, slow start and remembered keys.
+//! A fake host: its listener for each limiter, and the simulation's model of cores, queue, slow start and deduplication
+//! keys.
 
 use quartzcleat_decision::api::Nanos;
 use quartzcleat_simulation::host::{AttemptKey, Host, HostStatus};
@@ -12,20 +13,21 @@
 /// The state of one fake host.
 pub(crate) struct FakeHost {
     pub(crate) model: Host,
-    /// The address for each limiter.
+    /// The host's address for each limiter, by limiter index.
     pub(crate) addresses: Vec<SocketAddr>,
-    /// Listeners that are bound before the first process starts.
+    /// Listeners for the first process, bound in advance. Empty if the host is absent at the start of the
+    /// run, and after its first start.
     listeners: Vec<TcpListener>,
-    /// Counts the processes that have ended.
+    /// The number of processes that have ended.
     ended_processes: watch::Sender<u64>,
-    /// Attempts that wait in the host's queue.
+    /// The sender that starts each attempt in the host's queue.
     queued: BTreeMap<AttemptKey, oneshot::Sender<()>>,
 }
 
-/// Where a host's process serves one limiter.
+/// The address at which a host's process serves one limiter.
 pub(crate) struct Endpoint {
     pub(crate) address: SocketAddr,
-    /// A listener that is bound already.
+    /// The listener if it is already bound; otherwise the process binds the address itself.
     pub(crate) listener: Option<TcpListener>,
     /// Changes when the process ends.
     pub(crate) process_ended: watch::Receiver<u64>,
@@ -52,7 +54,7 @@
         })
     }
 
-    /// The endpoints of a process that starts, one for each limiter.
+    /// Returns the endpoints of a process that starts, one for each limiter.
     pub(crate) fn take_endpoints(&mut self) -> Vec<Endpoint> {
         let mut listeners = std::mem::take(&mut self.listeners).into_iter();
         let process_ended = self.ended_processes.subscribe();
@@ -66,7 +68,7 @@
             .collect()
     }
 
-    /// Ends the host's process or its machine.
+    /// Ends the host's process (`Dead`) or its machine (`Unreachable`). Sockets are closed only when the process ends.
     pub(crate) fn end(&mut self, status: HostStatus) {
         self.model.stop(status);
         self.queued.clear();
@@ -76,13 +78,14 @@
     }
 
     /// Queues an attempt. The receiver resolves when the attempt starts, and fails when the host ends.
-    pub(crate) fn enqueue(&mut self, job: AttemptKey) -> oneshot::Receiver<()> {
+    pub(crate) fn enqueue(&mut self, attempt: AttemptKey) -> oneshot::Receiver<()> {
         let (start, started) = oneshot::channel();
-        self.queued.insert(job, start);
+        self.queued.insert(attempt, start);
         started
     }
 
-    /// Finishes a job of the process that started at `started`, and starts the next queued one whose connection is open.
+    /// Finishes an attempt's work in the process that started at `started`, and starts the next queued attempt whose
+    /// connection is open. Does nothing if that process is not running any more.
     pub(crate) fn finish_job(&mut self, started: Nanos) {
         if self.model.started != started || self.model.status != HostStatus::Running {
             return;
--- a/crates/fakes/src/state/mod.rs
+++ b/crates/fakes/src/state/mod.rs
@@ -1,4 +1,4 @@
-//! The state of fake services. It knows neither sockets' protocols nor the harness.
+//! The state of the fake services, independent of their protocols and of the harness.
 
 mod counter;
 mod discovery;
