--- a/crates/fakes/src/process.rs
+++ b/crates/fakes/src/process.rs
@@ -1,4 +1,5 @@
-//! Limiter processes as tests and tools start them: an environment without overrides, signals, and resource usage. This module is independent of scenarios and fake services.
+//! Limiter processes as tests and tools start them: an environment without overrides, signals, and resource usage. This
+//! module is independent of scenarios and fake services.
 
 use nix::unistd::Pid;
 use std::fs::OpenOptions;
--- a/crates/fakes/src/resp/tests.rs
+++ b/crates/fakes/src/resp/tests.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn incomplete_command_is_awaited() {
+fn incomplete_command_is_not_parsed_yet() {
     let bytes = encode_command(&ARGUMENTS);
     assert!((0..bytes.len()).all(|cut| {
         parse_command(&bytes[..cut])
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn value_is_parsed_without_the_bytes_behind_it() {
+fn value_is_parsed_without_trailing_bytes() {
     assert_eq!(
         parse_reply(b"$2\r\nab\r\n+").expect("the reply is valid"),
         Some(Parsed {
--- a/crates/fakes/src/state/host.rs
+++ b/crates/fakes/src/state/host.rs
@@ -15,8 +15,8 @@
     pub(crate) model: Host,
     /// The host's address for each limiter, by limiter index.
     pub(crate) addresses: Vec<SocketAddr>,
-    /// Listeners for the first process, bound in advance. Empty if the host is absent at the start of the
-    /// run, and after its first start.
+    /// Listeners for the first process, bound in advance. Empty if the host is absent at the start of the run, and after
+    /// its first start.
     listeners: Vec<TcpListener>,
     /// The number of processes that have ended.
     ended_processes: watch::Sender<u64>,
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -1,10 +1,12 @@
-//! Fault injection: many real processes of the program on loopback, with relays between them that lose, delay, duplicate
-//! and reorder datagrams, and faults that a scenario names or that are generated from a seed: isolation, pauses, kills,
-//! restarts. The target of the limiters' actions writes one history with one clock, and [`judge`] gives a verdict on it.
-//! A run that never reached the changes of lease holder that its scenario is for is empty, which is a failure too.
+//! Fault injection for leases: runs many real limiter processes on loopback. Relays between them lose, delay, duplicate
+//! and reorder datagrams. Faults such as isolation, pauses, kills and restarts are named in a scenario or generated
+//! from a seed. The target of the limiters' actions records one history with one clock, on which [`judge`] gives a
+//! verdict. A run with fewer changes of lease holder than its scenario requires is empty, which also counts as a
+//! failure.
 //!
 //! Modules depend on each other in one direction: `run` -> `trial` -> `network`, `limiter`, `limiter_config` ->
-//! `link`, `target`, `scenario`; `row` and `verdict` read the report of a run, `testbed`, and know no sockets.
+//! `link`, `target`, `scenario`. `row` and `verdict` evaluate the report of a run, which `testbed` defines, and use no
+//! sockets.
 
 mod limiter;
 mod limiter_config;
--- a/crates/fault-injection/src/limiter.rs
+++ b/crates/fault-injection/src/limiter.rs
@@ -1,4 +1,4 @@
-//! A limiter of a trial: its process, and the product configuration that every start completes.
+//! One limiter of a trial: its process, and its product configuration, to which each start adds lines.
 
 use quartzcleat_fakes::process::{LimiterProcess, ProcessFiles};
 use std::io;
@@ -12,7 +12,7 @@
 }
 
 impl Limiter {
-    /// A limiter that is not started yet.
+    /// Creates a limiter without starting its process.
     pub(crate) fn new(program: &Path, files: ProcessFiles, product_config: String) -> Self {
         Limiter {
             process: LimiterProcess::new(program, files),
@@ -20,7 +20,7 @@
         }
     }
 
-    /// Starts the process, with additional lines at the end of its product configuration.
+    /// Starts the process with `additional_lines` at the end of its product configuration.
     pub(crate) fn start(&mut self, additional_lines: &str) -> io::Result<()> {
         let product_config = format!("{}{additional_lines}", self.product_config);
         self.process.start(Some(&product_config))
--- a/crates/fault-injection/src/limiter_config.rs
+++ b/crates/fault-injection/src/limiter_config.rs
@@ -1,4 +1,4 @@
-//! The configuration of one limiter of a run.
+//! The product configuration (YAML) of one limiter of a run.
 
 use crate::network::Network;
 use crate::scenario::{ClockFaults, Scenario};
@@ -7,7 +7,8 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// The product configuration of a limiter: it listens at its own address and reaches its peers through the links.
+/// Returns the product configuration of a limiter. Its own entry holds the address at which it receives datagrams, and
+/// its peers' entries hold the addresses of the links to them.
 pub(crate) fn product_config(
     scenario: &Scenario,
     key_file: &Path,
@@ -27,7 +28,7 @@
         let line = format!("    {}: {address}\n", limiter_name(peer));
         text += &line;
     }
-    let voters: Vec<String> = scenario.voter_indices().map(limiter_name).collect();
+    let voters: Vec<String> = scenario.acceptor_indices().map(limiter_name).collect();
     let acceptors_and_task = format!(
         "  voters: [{}]\n  tasks:\n    - name: beat\n      target: {target}\n      every: {}ms\n      longest: {}ms\n",
         voters.join(", "),
@@ -38,11 +39,13 @@
     Ok(text)
 }
 
+/// Returns the name of a limiter in configurations, such as `l007`.
 fn limiter_name(limiter: LimiterIndex) -> String {
     format!("l{limiter:03}")
 }
 
-/// Random clock errors of a process that starts, as a line of its `lease` section; empty where clocks are right.
+/// Returns random clock errors for a process that starts, as a line of its `lease` section. Empty if the scenario has
+/// no clock errors.
 pub(crate) fn clock_line(clocks: &ClockFaults, rng: &mut fastrand::Rng) -> String {
     let rate = (rng.f64() - 0.5) * clocks.rate_spread;
     let wall_share = (rng.f64() - 0.5) * 2.0;
@@ -55,7 +58,7 @@
     let rate_percent = rate.abs() * 100.0;
     let wall_ms = wall_ms.abs();
     let mut line = String::new();
-    // Writing to a string does not fail.
+    // Writing to a string never fails.
     let _ = writeln!(
         line,
         "  clock: {{{rate_key}: {rate_percent:.2}%, {wall_key}: {wall_ms}ms}}"
--- a/crates/fault-injection/src/link/datagram.rs
+++ b/crates/fault-injection/src/link/datagram.rs
@@ -1,4 +1,4 @@
-//! A relay of datagrams that loses, duplicates, delays and reorders them by its seed.
+//! A datagram relay that loses, duplicates, delays and reorders datagrams as its random seed determines.
 
 use crate::scenario::LinkFaults;
 use std::cell::{Cell, RefCell};
@@ -8,36 +8,36 @@
 use tokio::net::UdpSocket;
 use tokio::time::sleep;
 
-/// Longer datagrams are cut off; the limiters send none.
+/// The size of the receive buffer. Longer datagrams would be truncated; limiters send none.
 const MAX_DATAGRAM_BYTES: usize = 2_048;
-/// Shorter delays than the timer's resolution are left out.
+/// The resolution of the timer. Datagrams with a shorter delay are sent at once.
 const MIN_DELAY: Duration = Duration::from_millis(1);
 
-/// Datagrams that have reached the links of a run.
+/// The traffic that has reached the links of a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LinkTraffic {
-    /// Datagrams that reached a link.
+    /// The number of datagrams that reached a link.
     pub datagrams: u64,
-    /// Their bytes.
+    /// Their total size in bytes, without headers.
     pub bytes: u64,
-    /// Of the datagrams, those dropped by a cut.
+    /// The number of datagrams that were dropped because their link was cut.
     pub cut: u64,
-    /// Of the datagrams, those lost at random.
+    /// The number of datagrams that were lost at random on links that were not cut.
     pub lost: u64,
 }
 
-/// A relay of datagrams to one limiter.
+/// A relay of the datagrams from one limiter to another.
 pub struct DatagramLink {
     socket: UdpSocket,
     destination: SocketAddr,
-    /// The cuts in force.
+    /// The number of cuts in force. The link forwards only while it is zero.
     cuts: Cell<u32>,
     rng: RefCell<fastrand::Rng>,
     faults: LinkFaults,
     traffic: Rc<Cell<LinkTraffic>>,
 }
 
-/// Cuts a link until it is dropped.
+/// A cut of a link, in force until this value is dropped.
 pub struct DatagramCut(Rc<DatagramLink>);
 
 impl Drop for DatagramCut {
@@ -47,10 +47,10 @@
 }
 
 impl DatagramLink {
-    /// Opens a relay to `destination` at an address of its own and starts its task.
+    /// Opens a relay to `destination` on its own loopback address and starts its task.
     ///
     /// # Errors
-    /// Fails where loopback has no free address.
+    /// Returns an error if no loopback address can be bound.
     pub async fn open(
         destination: SocketAddr,
         faults: LinkFaults,
@@ -69,15 +69,15 @@
         Ok(link)
     }
 
-    /// The address at which the relay listens.
+    /// Returns the address at which the relay listens.
     ///
     /// # Errors
-    /// Fails where the system does not report it.
+    /// Returns an error if the system does not report the address.
     pub fn address(&self) -> std::io::Result<SocketAddr> {
         self.socket.local_addr()
     }
 
-    /// Cuts the link; it is restored when all its cuts are dropped.
+    /// Cuts the link. It forwards again when all its cuts are dropped.
     #[must_use]
     pub fn cut(self: &Rc<Self>) -> DatagramCut {
         self.cuts.set(self.cuts.get() + 1);
@@ -87,7 +87,7 @@
     async fn relay(self: Rc<Self>) {
         let mut buffer = [0; MAX_DATAGRAM_BYTES];
         loop {
-            // A destination that is down is reported as an error of the socket; later datagrams may arrive.
+            // The socket reports an error if the destination is down; later datagrams may still arrive.
             let Ok((length, _)) = self.socket.recv_from(&mut buffer).await else {
                 continue;
             };
@@ -96,8 +96,8 @@
     }
 
     fn handle(self: &Rc<Self>, datagram: &[u8]) {
-        let is_lost = self.has_chance(self.faults.loss);
-        let is_duplicated = self.has_chance(self.faults.duplication);
+        let is_lost = self.random_bool(self.faults.loss);
+        let is_duplicated = self.random_bool(self.faults.duplication);
         let is_cut = self.cuts.get() > 0;
         self.count(datagram, is_cut, is_lost);
         if is_cut || is_lost {
@@ -108,8 +108,9 @@
         }
     }
 
-    fn has_chance(&self, share: f64) -> bool {
-        self.rng.borrow_mut().f64() < share
+    /// Returns `true` with the given probability.
+    fn random_bool(&self, probability: f64) -> bool {
+        self.rng.borrow_mut().f64() < probability
     }
 
     fn count(&self, datagram: &[u8], is_cut: bool, is_lost: bool) {
@@ -121,7 +122,7 @@
         self.traffic.set(traffic);
     }
 
-    /// Sends one copy after a random delay.
+    /// Sends one copy of a datagram after a random delay.
     fn forward(self: &Rc<Self>, datagram: &[u8]) {
         let delay = self.faults.max_delay.mul_f64(self.rng.borrow_mut().f64());
         if delay < MIN_DELAY {
@@ -137,7 +138,7 @@
     }
 
     fn send(&self, datagram: &[u8]) {
-        // A datagram may be lost; the limiters repeat what they need.
+        // A failure is the same as a lost datagram, which the limiters send again if they need to.
         let _ = self.socket.try_send_to(datagram, self.destination);
     }
 }
--- a/crates/fault-injection/src/link/mod.rs
+++ b/crates/fault-injection/src/link/mod.rs
@@ -1,5 +1,5 @@
-//! The links of a run: one relay of datagrams for each ordered pair of limiters that communicates, and one relay of
-//! streams between each limiter and the target. A cut link drops datagrams and holds back streams silently.
+//! The links of a run: one datagram relay for each ordered pair of limiters that communicate, and one stream relay
+//! between each limiter and the target. A cut link drops datagrams and holds back streams; neither end gets an error.
 
 mod datagram;
 mod stream;
--- a/crates/fault-injection/src/link/stream.rs
+++ b/crates/fault-injection/src/link/stream.rs
@@ -1,5 +1,5 @@
-//! A relay of streams to the target. Bytes that are on their way when a direction is closed arrive when it is open again,
-//! as TCP delivers them.
+//! A relay of TCP streams to the target. Bytes that are in transit when a direction is closed are delivered when it is
+//! open again, as TCP would deliver them.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -14,15 +14,15 @@
 
 const COPY_BUFFER_BYTES: usize = 1_024;
 
-/// One direction of a relay: while it is closed, bytes wait.
+/// Controls one direction of a relay. While it is closed, bytes wait.
 #[derive(Debug, Default)]
 pub struct Gate {
-    /// How many times it is closed.
+    /// The number of [`ClosedGate`] values; the gate is open while it is zero.
     closed: Cell<u32>,
     opened: Notify,
 }
 
-/// Keeps a gate closed until it is dropped.
+/// Keeps a gate closed until this value is dropped.
 #[must_use = "the gate opens when this is dropped"]
 pub struct ClosedGate<'a>(&'a Gate);
 
@@ -34,7 +34,7 @@
 }
 
 impl Gate {
-    /// Closes the gate; it opens when all that close it are dropped.
+    /// Closes the gate. It opens when all the values that this method returned are dropped.
     pub fn close(&self) -> ClosedGate<'_> {
         self.closed.set(self.closed.get() + 1);
         ClosedGate(self)
@@ -51,21 +51,21 @@
     }
 }
 
-/// A relay of streams to one address.
+/// A relay of the streams from one limiter to the target.
 pub struct StreamLink {
-    /// The direction to the target: connections and actions.
+    /// The gate of the direction to the target: connections and actions.
     pub to_target: Gate,
-    /// The direction from the target: answers.
+    /// The gate of the direction from the target: answers.
     pub from_target: Gate,
     resets: Notify,
     address: SocketAddr,
 }
 
 impl StreamLink {
-    /// Opens a relay and starts its task.
+    /// Opens a relay to `target` and starts its task.
     ///
     /// # Errors
-    /// Fails where loopback has no free address.
+    /// Returns an error if no loopback address can be bound.
     pub async fn open(target: SocketAddr) -> std::io::Result<Rc<StreamLink>> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let link = Rc::new(StreamLink {
@@ -78,7 +78,7 @@
         Ok(link)
     }
 
-    /// The address at which the relay listens.
+    /// Returns the address at which the relay listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -104,7 +104,7 @@
             () = reset => true,
         };
         if was_reset {
-            // Without the option the connection ends without a reset, which limiters also survive.
+            // If the option cannot be set, the connection ends without a reset, which limiters also handle.
             let _ = limiter.set_zero_linger();
         }
     }
@@ -123,6 +123,7 @@
     }
 }
 
+/// Copies bytes while the gate is open, until the stream ends or fails.
 async fn copy(mut reader: ReadHalf<'_>, mut writer: WriteHalf<'_>, gate: &Gate) {
     let mut buffer = [0; COPY_BUFFER_BYTES];
     while let Ok(length @ 1..) = reader.read(&mut buffer).await {
@@ -131,6 +132,6 @@
             return;
         }
     }
-    // A peer that is gone needs no end of the stream.
+    // Fails only if the peer is gone, which then needs no end of the stream.
     let _ = writer.shutdown().await;
 }
--- a/crates/fault-injection/src/link/stream/tests.rs
+++ b/crates/fault-injection/src/link/stream/tests.rs
@@ -1,14 +1,14 @@
-//! Streams through a closed gate and a reset.
+//! Tests of stream relays: open, with a closed gate, and reset.
 
 use super::*;
 use std::time::Duration;
 use tokio::task::LocalSet;
 use tokio::time::timeout;
 
-/// The time for which bytes that must not arrive are awaited; all others are awaited until they arrive.
-const SILENCE: Duration = Duration::from_millis(30);
+/// How long a test waits for bytes that must not arrive. Bytes that must arrive are awaited without a limit.
+const ABSENCE_TIMEOUT: Duration = Duration::from_millis(30);
 
-/// A link between a limiter and its target, all on loopback.
+/// A link and the limiter's and the target's ends of a connection through it, all on loopback.
 struct Linked {
     link: Rc<StreamLink>,
     limiter: TcpStream,
@@ -33,7 +33,7 @@
         self.limiter.write_all(bytes).await.expect("written");
     }
 
-    /// The next bytes that reach the target.
+    /// Waits for the next three bytes that reach the target.
     async fn receive(&mut self) -> [u8; 3] {
         let mut received = [0; 3];
         let read = self.target.read_exact(&mut received).await;
@@ -68,7 +68,7 @@
         let link = linked.link.clone();
         let closed = link.to_target.close();
         linked.send(b"two").await;
-        let early = timeout(SILENCE, linked.receive()).await;
+        let early = timeout(ABSENCE_TIMEOUT, linked.receive()).await;
         assert!(early.is_err(), "nothing passes a closed gate");
         drop(closed);
         assert_eq!(&linked.receive().await, b"two");
--- a/crates/fault-injection/src/network.rs
+++ b/crates/fault-injection/src/network.rs
@@ -1,4 +1,4 @@
-//! The addresses of a run's limiters and the links between them.
+//! The network of a run: the addresses of its limiters and the links between them.
 
 use crate::link::{DatagramLink, LinkTraffic};
 use crate::scenario::{FaultKind, Scenario};
@@ -15,16 +15,17 @@
     pub(crate) to: LimiterIndex,
 }
 
-/// The limiters' network.
+/// The addresses of the limiters and the links between them.
 pub(crate) struct Network {
-    /// The address at which each limiter receives datagrams.
+    /// The address at which each limiter receives datagrams, by limiter index.
     addresses: Vec<SocketAddr>,
     links: BTreeMap<LinkId, Rc<DatagramLink>>,
     traffic: Rc<Cell<LinkTraffic>>,
 }
 
 impl Network {
-    /// Opens the links between all limiters that communicate: limiters that are not acceptors communicate with acceptors only.
+    /// Opens the links between all limiters that communicate. Limiters that are not acceptors communicate only with
+    /// acceptors.
     pub(crate) async fn open(scenario: &Scenario, seed: u64) -> std::io::Result<Network> {
         let traffic = Rc::new(Cell::new(LinkTraffic::default()));
         let mut addresses = Vec::new();
@@ -35,8 +36,8 @@
         let mut links = BTreeMap::new();
         for from in scenario.limiter_indices() {
             for (to, address) in scenario.limiter_indices().zip(&addresses) {
-                let has_voter = scenario.is_voter(from) || scenario.is_voter(to);
-                if from == to || !has_voter {
+                let has_acceptor = scenario.is_acceptor(from) || scenario.is_acceptor(to);
+                if from == to || !has_acceptor {
                     continue;
                 }
                 let number = (from.as_usize() * scenario.limiters + to.as_usize()) as u64;
@@ -53,13 +54,13 @@
         })
     }
 
-    /// The address at which a limiter receives datagrams.
+    /// Returns the address at which a limiter receives datagrams.
     pub(crate) fn address(&self, limiter: LimiterIndex) -> SocketAddr {
         self.addresses[limiter.as_usize()]
     }
 
-    /// The address at which `from` reaches `to`. Limiters that never communicate have the peer's own address, since peers
-    /// are numbered by their positions in the configuration.
+    /// Returns the address at which `from` reaches `to`: that of the link, or the peer's own address if the two never
+    /// communicate. Such a peer needs an address too, since peers are numbered by their positions in the configuration.
     pub(crate) fn peer_address(
         &self,
         from: LimiterIndex,
@@ -71,7 +72,7 @@
         }
     }
 
-    /// The links that a fault at `limiter` cuts.
+    /// Returns the links that a fault at `limiter` cuts.
     pub(crate) fn links_cut_by(
         &self,
         kind: FaultKind,
@@ -85,13 +86,13 @@
             .collect()
     }
 
-    /// The traffic that has reached all links so far.
+    /// Returns the traffic that has reached the links so far.
     pub(crate) fn traffic(&self) -> LinkTraffic {
         self.traffic.get()
     }
 }
 
-/// Whether a fault at `limiter` cuts a link.
+/// Returns whether a fault at `limiter` cuts a link.
 fn is_cut(link: LinkId, kind: FaultKind, limiter: LimiterIndex, limiters: usize) -> bool {
     match kind {
         FaultKind::Isolate => link.from == limiter || link.to == limiter,
@@ -105,13 +106,14 @@
     }
 }
 
-/// Whether a limiter is one of the minority that begins with `first`: less than half of all, so that the others hold a
-/// majority of any odd set of acceptors that they contain.
+/// Returns whether a limiter belongs to the minority that begins with `first`. The minority is less than half of all
+/// limiters, so that the others hold a majority of any odd set of acceptors that they contain.
 fn is_in_minority(limiter: LimiterIndex, first: LimiterIndex, limiters: usize) -> bool {
     (limiter.as_usize() + limiters - first.as_usize()) % limiters < limiters.div_ceil(2) - 1
 }
 
-/// A loopback address that only one limiter of one run uses, so that no other socket takes its port before it starts.
+/// Returns a loopback address for one limiter of one run. No other limiter uses it, so that no other socket takes the
+/// limiter's port before it starts.
 pub(crate) fn limiter_ip(seed: u64, limiter: LimiterIndex) -> Ipv4Addr {
     let process = std::process::id();
     Ipv4Addr::new(
--- a/crates/fault-injection/src/row.rs
+++ b/crates/fault-injection/src/row.rs
@@ -1,5 +1,5 @@
-//! The stored result of one seed: a line of JSON, from which an interrupted series of runs resumes and all reports are made.
-//! The keys and the text of findings are a stored format; they keep their spelling.
+//! The stored result of one seed, as a line of JSON. An interrupted series of runs resumes from such lines, and all
+//! reports are made from them. The keys and the texts of findings are a stored format and must keep their spelling.
 
 use crate::target::Action;
 use crate::testbed::RunReport;
@@ -14,31 +14,31 @@
 /// The result of one seed.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Row {
-    /// The seed.
+    /// The seed of the run.
     pub seed: u64,
-    /// Accepted actions.
+    /// The number of accepted actions.
     pub accepted: usize,
-    /// Actions that were refused for their tokens.
+    /// The number of actions that were refused because of their tokens.
     pub refused: usize,
-    /// Changes of lease holder.
+    /// The number of changes of lease holder.
     pub changes: usize,
-    /// Of these, changes while the earlier holder was paused.
+    /// The number of these changes during which the earlier holder was paused.
     pub while_paused: usize,
-    /// Actions that were accepted with a lower token than one before.
+    /// The number of actions that were accepted with a lower token than an earlier one.
     #[serde(rename = "old_tokens")]
     pub stale_tokens: usize,
-    /// Pairs of accepted actions of two tokens that overlapped.
+    /// The number of pairs of accepted actions with different tokens that overlapped in time.
     #[serde(rename = "at_once")]
     pub overlaps: usize,
-    /// Whether there were fewer changes of lease holder than the scenario demands.
+    /// Whether there were fewer changes of lease holder than the scenario requires.
     pub empty: bool,
     /// Times between one holder's last action and the next one's first, in microseconds.
     pub gaps_us: Vec<u64>,
-    /// The running times of all limiters together, in seconds.
+    /// The length of the run times the number of limiters, in seconds.
     pub limiter_seconds: f64,
-    /// Datagrams over all links.
+    /// The number of datagrams that reached all links.
     pub datagrams: u64,
-    /// Their bytes.
+    /// Their total size in bytes.
     pub bytes: u64,
     /// CPU time of the limiters that ran to the end, in seconds.
     pub cpu_s: f64,
@@ -47,13 +47,13 @@
     /// CPU time of the testbed itself, in seconds: relays, target and fault injection.
     #[serde(rename = "ground_cpu_s")]
     pub testbed_cpu_s: f64,
-    /// The violation, or why the run is empty, with the faults before it; no text where all holds.
+    /// A description of the violation, or of why the run is empty, with the faults before it. Empty if neither applies.
     #[serde(rename = "broken")]
     pub finding: String,
 }
 
 impl Row {
-    /// The row of a run.
+    /// Judges the report of a run and returns its row.
     #[must_use]
     pub fn of(scenario: &Scenario, seed: u64, report: &RunReport) -> Row {
         let verdict = judge(&report.seen, &report.marks);
@@ -79,14 +79,15 @@
         }
     }
 
-    /// Whether there is no violation and the run was not empty.
+    /// Returns whether there is no violation and the run is not empty.
     #[must_use]
     pub fn holds(&self) -> bool {
         self.stale_tokens == 0 && self.overlaps == 0 && !self.empty
     }
 }
 
-/// The violated property, two actions that show it, and the faults up to there.
+/// Describes the violated property, two actions that show it, and the faults up to them; or why the run is empty.
+/// Returns an empty string if neither applies.
 fn finding(verdict: &Verdict, empty: bool, report: &RunReport) -> String {
     if let Some(violation) = verdict.violation {
         let property = if violation.later.token < violation.earlier.token {
@@ -109,7 +110,7 @@
     String::new()
 }
 
-/// An action in the stored form, whose words are older than the names of the types.
+/// Formats an action in the stored format, whose words are older than the present type and field names.
 fn action_text(action: &Action) -> String {
     let Action {
         from,
@@ -123,7 +124,7 @@
     )
 }
 
-/// The begins and ends of faults up to a time, a line for each.
+/// Formats the starts and ends of faults up to `end`, one per line.
 fn fault_lines(report: &RunReport, end: Duration) -> String {
     report
         .marks
--- a/crates/fault-injection/src/row/tests.rs
+++ b/crates/fault-injection/src/row/tests.rs
@@ -1,4 +1,4 @@
-//! Rows of small histories, and their stored form.
+//! Tests of the rows of small histories, and of their stored format.
 
 use super::*;
 use crate::scenario::FaultKind;
@@ -6,7 +6,7 @@
 use quartzcleat_decision::api::LimiterIndex;
 use quartzcleat_lease::FencingToken;
 
-/// An accepted action of 5 ms.
+/// Returns an accepted action that lasts 5 ms.
 fn action(from_ms: u64, round: u64, proposer: u32) -> Action {
     Action {
         from: Duration::from_millis(from_ms),
@@ -31,12 +31,12 @@
     Row::of(&scenario, 4, &report)
 }
 
-/// Actions of which the last one has a stale token.
+/// Returns three actions, the last of which has a stale token.
 fn actions_with_stale_token() -> [Action; 3] {
     [action(0, 1, 0), action(20, 2, 1), action(40, 1, 0)]
 }
 
-/// The row of a run with these actions, and a fault before them.
+/// Returns the row of a run with a stale token, and a fault before its second action.
 fn row_of_violation() -> Row {
     let pause = Mark {
         at: Duration::from_millis(8),
@@ -62,9 +62,9 @@
 }
 
 #[test]
-fn row_is_read_as_it_was_written() {
+fn row_is_unchanged_by_a_json_round_trip() {
     let row = row_of_violation();
-    let line = serde_json::to_string(&row).expect("it is written");
+    let line = serde_json::to_string(&row).expect("the row is serialised");
     assert_eq!(serde_json::from_str::<Row>(&line).ok(), Some(row));
 }
 
@@ -79,7 +79,8 @@
     assert!(row_of(&actions_with_stale_token()[..1], Vec::new()).empty);
 }
 
-/// The text as it was stored before the types got their present names.
+/// Stored rows use type and field names that have since been renamed (`Seen`, `Ballot`, `bidder`, `boot`). New rows
+/// must match them.
 #[test]
 fn finding_keeps_its_stored_text() {
     assert_eq!(
--- a/crates/fault-injection/src/run.rs
+++ b/crates/fault-injection/src/run.rs
@@ -1,4 +1,4 @@
-//! Runs a scenario with one seed, on a thread of its own runtime.
+//! Runs a scenario with one seed, on a single-threaded runtime of its own.
 
 use crate::scenario::Scenario;
 use crate::testbed::{RunReport, Testbed};
@@ -8,10 +8,11 @@
 use std::time::Duration;
 use tokio::task::LocalSet;
 
-/// Runs a scenario with one seed.
+/// Runs a scenario with one seed and returns the observations.
 ///
 /// # Errors
-/// Fails where loopback, files or processes fail. What limiters do wrong is in the report instead.
+/// Returns an error if a socket, file or process operation fails. Wrong behaviour of limiters is not an error: the
+/// report shows it.
 pub fn run(scenario: &Scenario, seed: u64, testbed: &Testbed) -> std::io::Result<RunReport> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -27,7 +28,7 @@
     })
 }
 
-/// CPU time of this thread so far.
+/// Returns the CPU time that this thread has used so far.
 fn thread_cpu() -> std::io::Result<Duration> {
     let usage = getrusage(UsageWho::RUSAGE_THREAD).map_err(std::io::Error::from)?;
     let cpu = usage.user_time() + usage.system_time();
--- a/crates/fault-injection/src/scenario/mod.rs
+++ b/crates/fault-injection/src/scenario/mod.rs
@@ -1,5 +1,6 @@
-//! A scenario in YAML: the number of limiters, the timing of leases, how links behave, and which faults come when. Faults
-//! that the file does not name are generated from the seed, so that scenario and seed determine the schedule.
+//! A scenario in YAML: the number of limiters, the timing of leases, the behaviour of links, and the faults with their
+//! times. Faults that the file does not name are generated from the seed, so that the scenario and the seed determine
+//! the schedule.
 
 mod read;
 mod schedule;
@@ -10,14 +11,14 @@
 use quartzcleat_decision::api::LimiterIndex;
 use std::time::Duration;
 
-/// The limiters that a fault strikes.
+/// The limiters that a fault affects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultTarget {
     /// The limiter whose action was accepted last.
     LeaseHolder,
-    /// One at random.
+    /// One limiter, chosen at random.
     Random,
-    /// All of them.
+    /// All limiters.
     All,
 }
 
@@ -39,27 +40,29 @@
 pub enum FaultKind {
     /// SIGSTOP, then SIGCONT.
     Pause,
-    /// SIGKILL, then a start without any state.
+    /// SIGKILL, then a restart without any state.
     Kill,
-    /// SIGTERM, then a start.
+    /// SIGTERM, then a restart.
     Terminate,
-    /// All datagrams from and to the limiter are dropped.
+    /// All datagrams to and from the limiter are dropped.
     Isolate,
     /// Datagrams from the limiter are dropped.
     DropOutbound,
     /// Datagrams to the limiter are dropped.
     DropInbound,
-    /// A minority of the limiters, with this one among them, is separated from the others. All reach the target.
+    /// A minority of the limiters, which includes this one, is separated from the others. All limiters reach the
+    /// target.
     Partition,
-    /// Actions of the limiter wait on their way to the target; votes pass.
+    /// Actions of the limiter are held back on their way to the target; its votes are not.
     DelayActions,
-    /// Actions of the limiter reach the target; the answers wait.
+    /// Actions of the limiter reach the target, but the answers are held back.
     DelayAnswers,
     /// The limiter's connections to the target are reset repeatedly.
     ResetConnections,
 }
 
-/// The spelling of faults in YAML and in histories. Random faults are chosen by their position here.
+/// The spelling of faults in YAML and in histories. Random faults are chosen by their positions in this list, so a
+/// change of order changes the schedules of seeds.
 const KIND_KEYWORDS: [(&str, FaultKind); 10] = [
     ("pause", FaultKind::Pause),
     ("kill", FaultKind::Kill),
@@ -73,11 +76,12 @@
     ("reset", FaultKind::ResetConnections),
 ];
 
-/// So many kinds, the first ones, cost a holder its lease; the others concern only its actions.
-const KINDS_THAT_COST_THE_LEASE: usize = 7;
+/// The number of kinds, at the start of [`KIND_KEYWORDS`], that make a holder lose its lease. The others affect only
+/// its actions.
+const LEASE_LOSS_KINDS: usize = 7;
 
 impl FaultKind {
-    /// The kind's spelling in scenarios and in histories.
+    /// Returns the kind's spelling in scenarios and in histories.
     #[must_use]
     pub fn keyword(self) -> &'static str {
         keyword_of(&KIND_KEYWORDS, self)
@@ -91,81 +95,81 @@
         .map_or("", |(keyword, _)| keyword)
 }
 
-/// One fault.
+/// One fault of a schedule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// The start, from the moment at which all limiters run.
+    /// The start of the fault, as the time since all limiters were started.
     pub at: Duration,
-    /// The limiters that it strikes.
+    /// The limiters that it affects.
     pub target: FaultTarget,
-    /// The kind of the fault.
+    /// What happens to these limiters or their links.
     pub kind: FaultKind,
-    /// How long it lasts.
+    /// How long the fault lasts.
     pub duration: Duration,
 }
 
-/// How links behave during the whole run.
+/// The faults that all links have during the whole run.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LinkFaults {
-    /// The share of datagrams that is lost.
+    /// The share of datagrams that are lost, from 0 to 1.
     pub loss: f64,
-    /// The share that is delivered twice.
+    /// The share of datagrams that are delivered twice, from 0 to 1.
     pub duplication: f64,
-    /// The longest delay. Each datagram has a random one, so that datagrams overtake one another.
+    /// The maximum delay. Each datagram gets a random delay up to it, so that datagrams overtake one another.
     pub max_delay: Duration,
 }
 
-/// How far the clocks of limiters may be wrong. Each process has random errors, anew at every start.
+/// The limits of the limiters' clock errors. Each process gets new random errors within them at every start.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ClockFaults {
-    /// The largest relative difference between the rates of two monotonic clocks.
+    /// The maximum relative difference between the rates of two monotonic clocks, as a share.
     pub rate_spread: f64,
-    /// The largest offset of a wall clock, ahead or behind.
+    /// The maximum offset of a wall clock, ahead or behind.
     pub max_wall_offset: Duration,
 }
 
-/// A scenario.
+/// A scenario of fault injection.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Scenario {
     /// The number of limiters.
     pub limiters: usize,
-    /// How many of them vote.
+    /// The number of acceptors among them, which is odd.
     pub voters: usize,
-    /// The length of a lease.
+    /// The duration of a lease.
     pub lease_length: Duration,
-    /// How often the holder acts.
+    /// The interval between the holder's actions.
     pub action_interval: Duration,
-    /// How long an action may take.
+    /// The maximum duration of an action.
     pub max_action_time: Duration,
-    /// The clock drift that the limiters are configured for.
+    /// The clock drift that the limiters are configured to tolerate, as a share.
     pub configured_drift: f64,
-    /// The actual errors of clocks.
+    /// The actual clock errors.
     pub clocks: ClockFaults,
-    /// The links.
+    /// The faults of the links between limiters.
     pub links: LinkFaults,
     /// Faults that the file names.
     pub faults: Vec<Fault>,
-    /// How many more are generated from the seed.
+    /// The number of further faults, which are generated from the seed.
     pub random_faults: usize,
-    /// The length of the run.
+    /// The duration of the run.
     pub duration: Duration,
-    /// The changes of lease holder without which a run is empty.
+    /// The minimum number of changes of lease holder; a run with fewer is empty.
     pub changes: usize,
 }
 
 impl Scenario {
-    /// All limiters.
+    /// Returns the indices of all limiters.
     pub(crate) fn limiter_indices(&self) -> impl Iterator<Item = LimiterIndex> + use<> {
         (0..self.limiters).map(LimiterIndex::from_usize)
     }
 
-    /// The limiters that vote: the first ones.
-    pub(crate) fn voter_indices(&self) -> impl Iterator<Item = LimiterIndex> + use<> {
+    /// Returns the indices of the acceptors, which are the first limiters.
+    pub(crate) fn acceptor_indices(&self) -> impl Iterator<Item = LimiterIndex> + use<> {
         (0..self.voters).map(LimiterIndex::from_usize)
     }
 
-    /// Whether a limiter votes.
-    pub(crate) fn is_voter(&self, limiter: LimiterIndex) -> bool {
+    /// Returns whether a limiter is an acceptor.
+    pub(crate) fn is_acceptor(&self, limiter: LimiterIndex) -> bool {
         limiter.as_usize() < self.voters
     }
 }
--- a/crates/fault-injection/src/scenario/read.rs
+++ b/crates/fault-injection/src/scenario/read.rs
@@ -36,10 +36,10 @@
 ];
 
 impl Scenario {
-    /// Reads a scenario; `file` names it in faults.
+    /// Reads a scenario from YAML. Faults of the text name `file`.
     ///
     /// # Errors
-    /// Returns all faults of the text, with file, line and key.
+    /// Returns all faults of the text, each with file, line and key.
     pub fn read(file: &str, contents: &str) -> Result<Scenario, Faults> {
         let file: Arc<str> = file.into();
         let tree = tree::parse(&file, contents)?;
@@ -49,7 +49,7 @@
     }
 }
 
-/// A map whose faults are collected.
+/// Reads the keys of a map and collects their faults.
 struct Keys<'a, 'f> {
     map: Reader<'a>,
     faults: &'f mut Faults,
--- a/crates/fault-injection/src/scenario/schedule.rs
+++ b/crates/fault-injection/src/scenario/schedule.rs
@@ -1,13 +1,13 @@
-//! The faults of one seed.
+//! The schedule of faults for one seed.
 
-use super::{Fault, FaultKind, FaultTarget, Scenario, KINDS_THAT_COST_THE_LEASE, KIND_KEYWORDS};
+use super::{Fault, FaultKind, FaultTarget, Scenario, KIND_KEYWORDS, LEASE_LOSS_KINDS};
 use std::time::Duration;
 
-/// The share of random faults that strike the lease holder.
+/// The probability that a random fault other than the first targets the lease holder.
 const HOLDER_SHARE: f64 = 0.7;
 
 impl Scenario {
-    /// The same scenario with all faults of a seed named and none generated: the start of shrinking.
+    /// Returns the scenario with all faults of a seed named and none generated, from which shrinking starts.
     #[must_use]
     pub fn with_schedule_of(&self, seed: u64) -> Scenario {
         Scenario {
@@ -17,7 +17,7 @@
         }
     }
 
-    /// The faults of one seed, named and generated, in the order of their times.
+    /// Returns the faults of one seed, named and generated, sorted by time.
     #[must_use]
     pub fn schedule(&self, seed: u64) -> Vec<Fault> {
         let mut rng = fastrand::Rng::with_seed(seed);
@@ -29,8 +29,8 @@
         schedule
     }
 
-    /// Generates a fault. The first one costs the holder its lease and all outlast a lease; otherwise the lease would
-    /// change hands in few runs.
+    /// Generates a fault. The first one makes the holder lose its lease, and all outlast a lease; otherwise few
+    /// runs would change the lease holder.
     fn random_fault(&self, index: usize, rng: &mut fastrand::Rng) -> Fault {
         let margin = self.lease_length * 2;
         let last = self.duration.saturating_sub(margin);
@@ -41,7 +41,7 @@
             FaultTarget::Random
         };
         let kinds = if index == 0 {
-            KINDS_THAT_COST_THE_LEASE
+            LEASE_LOSS_KINDS
         } else {
             KIND_KEYWORDS.len()
         };
@@ -55,6 +55,7 @@
     }
 }
 
+/// Returns a random duration from zero to `whole`.
 fn random_part(rng: &mut fastrand::Rng, whole: Duration) -> Duration {
     whole.mul_f64(rng.f64())
 }
--- a/crates/fault-injection/src/scenario/tests.rs
+++ b/crates/fault-injection/src/scenario/tests.rs
@@ -1,9 +1,9 @@
-//! Scenarios as written and read again.
+//! Tests of writing scenarios, reading them back, and former names of keys.
 
 use super::Scenario;
 use std::time::Duration;
 
-/// Times are written rounded, so that they are compared within 5 ms.
+/// Written times are rounded, so they are compared with a tolerance of 5 ms.
 #[test]
 fn written_schedule_reads_as_the_same_scenario() {
     let text = include_str!("../../../../deploy/trials/leases.yaml");
@@ -44,7 +44,7 @@
   - {at: 1s, target: any, fault: pause, duration: 800ms}
 ";
 
-/// A present key, and its former name.
+/// Each present key, with its former name.
 const RENAMED: [(&str, &str); 11] = [
     ("acceptors", "voters"),
     ("lease_duration", "lease"),
--- a/crates/fault-injection/src/scenario/write.rs
+++ b/crates/fault-injection/src/scenario/write.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 impl Scenario {
-    /// The scenario as a file that reads as this scenario.
+    /// Returns the scenario as YAML, from which [`Scenario::read`] reads this scenario; times are rounded.
     #[must_use]
     pub fn write(&self) -> String {
         let mut text = format!(
--- a/crates/fault-injection/src/shrink.rs
+++ b/crates/fault-injection/src/shrink.rs
@@ -1,5 +1,5 @@
-//! Shrinks a failing scenario: fewer faults, fewer limiters, shorter faults, an earlier end. It knows no processes: the
-//! caller runs a smaller scenario and returns whether it still fails.
+//! Shrinks a failing scenario: fewer faults, fewer limiters, shorter faults, an earlier end. This module starts no
+//! processes: the caller runs each smaller scenario and returns whether it still fails.
 
 use crate::Scenario;
 use std::time::Duration;
@@ -7,11 +7,11 @@
 #[cfg(test)]
 mod tests;
 
-/// The fewest acceptors whose majority survives the loss of one.
-const MIN_VOTERS: usize = 3;
+/// The smallest number of acceptors that still has a majority after the loss of one.
+const MIN_ACCEPTORS: usize = 3;
 
-/// Shrinks a scenario as long as it still fails. `fails` should run it more than once, since processes never run the same
-/// way twice.
+/// Shrinks a scenario for as long as a smaller one still fails, and returns the smallest. `fails` should run a scenario
+/// more than once, since the timing of processes differs between runs.
 pub fn shrink(scenario: Scenario, mut fails: impl FnMut(&Scenario) -> bool) -> Scenario {
     let mut smallest = scenario;
     while let Some(smaller) = candidates(&smallest).into_iter().find(&mut fails) {
@@ -20,19 +20,19 @@
     smallest
 }
 
-/// The scenarios that are one step smaller, the largest steps first.
+/// Returns the scenarios that are one step smaller, the largest steps first.
 fn candidates(scenario: &Scenario) -> Vec<Scenario> {
     let mut candidates = Vec::new();
-    candidates.extend(with_half_of_the_faults(scenario));
-    candidates.extend(with_one_fault_less(scenario));
+    candidates.extend(with_half_the_faults(scenario));
+    candidates.extend(without_one_fault(scenario));
     candidates.extend(with_fewer_limiters(scenario));
-    candidates.extend(with_fewer_voters(scenario));
+    candidates.extend(with_fewer_acceptors(scenario));
     candidates.extend(with_earlier_end(scenario));
     candidates.extend(with_shorter_faults(scenario));
     candidates
 }
 
-fn with_half_of_the_faults(scenario: &Scenario) -> Vec<Scenario> {
+fn with_half_the_faults(scenario: &Scenario) -> Vec<Scenario> {
     if scenario.faults.len() <= 2 {
         return Vec::new();
     }
@@ -46,7 +46,7 @@
         .collect()
 }
 
-fn with_one_fault_less(scenario: &Scenario) -> Vec<Scenario> {
+fn without_one_fault(scenario: &Scenario) -> Vec<Scenario> {
     (0..scenario.faults.len())
         .map(|index| {
             let mut smaller = scenario.clone();
@@ -56,7 +56,7 @@
         .collect()
 }
 
-/// Only limiters that do not vote are removed.
+/// Returns scenarios with fewer limiters. Only limiters that are not acceptors are removed.
 fn with_fewer_limiters(scenario: &Scenario) -> Vec<Scenario> {
     [scenario.voters, scenario.limiters.div_ceil(2)]
         .into_iter()
@@ -68,22 +68,23 @@
         .collect()
 }
 
-fn with_fewer_voters(scenario: &Scenario) -> Option<Scenario> {
-    (scenario.voters > MIN_VOTERS).then(|| Scenario {
-        voters: MIN_VOTERS,
+fn with_fewer_acceptors(scenario: &Scenario) -> Option<Scenario> {
+    (scenario.voters > MIN_ACCEPTORS).then(|| Scenario {
+        voters: MIN_ACCEPTORS,
         ..scenario.clone()
     })
 }
 
-/// Two leases after the end of the last fault nothing happens any more.
+/// Returns the scenario with its end two lease durations after the end of the last fault, since nothing relevant
+/// happens later.
 fn with_earlier_end(scenario: &Scenario) -> Option<Scenario> {
-    let faults_over: Duration = scenario
+    let faults_end: Duration = scenario
         .faults
         .iter()
         .map(|fault| fault.at + fault.duration)
         .max()
         .unwrap_or_default();
-    let duration = faults_over + scenario.lease_length * 2;
+    let duration = faults_end + scenario.lease_length * 2;
     (duration < scenario.duration).then(|| Scenario {
         duration,
         ..scenario.clone()
--- a/crates/fault-injection/src/shrink/tests.rs
+++ b/crates/fault-injection/src/shrink/tests.rs
@@ -1,8 +1,8 @@
-//! Shrinking with failures that need certain faults.
+//! Tests of shrinking scenarios whose failure depends on certain faults.
 
 use super::*;
 
-/// A scenario with thirty limiters and several faults.
+/// Returns a scenario with thirty limiters and several faults.
 fn large_scenario() -> Scenario {
     let text = include_str!("../../../../deploy/trials/thirty.yaml");
     Scenario::read("thirty.yaml", text)
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn scenario_that_does_not_fail_again_stays_as_it_is() {
+fn scenario_that_never_fails_again_is_unchanged() {
     let scenario = large_scenario();
     assert_eq!(shrink(scenario.clone(), |_| false), scenario);
 }
--- a/crates/fault-injection/src/target.rs
+++ b/crates/fault-injection/src/target.rs
@@ -1,4 +1,5 @@
-//! The target of the limiters' actions: checks fencing tokens as any target should, and writes the history with one clock.
+//! The target of the limiters' actions. It checks fencing tokens as any target should, and records the history with one
+//! clock.
 
 use quartzcleat_decision::api::LimiterIndex;
 use quartzcleat_lease::{BeginError, ExclusiveFence, FencingToken};
@@ -10,38 +11,40 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, timeout, Instant};
 
-/// A limiter that was paused may take long to write its line.
-const READ_TIMEOUT: Duration = Duration::from_secs(30);
+/// The time limit of a connection. It is long because a limiter may be paused before it writes its line.
+const CONNECTION_TIMEOUT: Duration = Duration::from_secs(30);
 const MAX_LINE_BYTES: u64 = 256;
 
 /// An action as the target observed it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Action {
-    /// When it was accepted or refused, as the time since the target's start.
+    /// When the action was accepted or refused, as the time since the target's start.
     pub from: Duration,
-    /// When it was answered.
+    /// When it ended, as the time since the target's start. Equal to `from` if it was refused, or while it is in
+    /// progress.
     pub to: Duration,
-    /// Its fencing token.
+    /// The fencing token of the action.
     pub token: FencingToken,
-    /// Whether it was accepted.
+    /// Whether the target accepted it.
     pub accepted: bool,
 }
 
-/// The target.
+/// The service that the lease holder acts on, with the history of actions.
 pub struct Target {
     start: Instant,
     fence: Cell<ExclusiveFence>,
     action_ended: Notify,
-    /// Whether tokens are checked and actions executed one at a time; without, a run shows what the check is for.
+    /// Whether tokens are checked and actions executed one at a time. Without the check, a run shows which violations
+    /// it prevents.
     checks: bool,
     /// How long an action takes.
     action_time: Duration,
-    /// All actions in the order in which they were accepted or refused.
+    /// All actions, in the order in which they were accepted or refused.
     actions: RefCell<Vec<Action>>,
 }
 
 impl Target {
-    /// A target with an empty history.
+    /// Creates a target with an empty history.
     pub fn new(checks: bool, action_time: Duration) -> Rc<Self> {
         Rc::new(Target {
             start: Instant::now(),
@@ -53,24 +56,24 @@
         })
     }
 
-    /// Time since the target's start.
+    /// Returns the time since the target's start.
     pub fn now(&self) -> Duration {
         self.start.elapsed()
     }
 
-    /// The history so far.
+    /// Returns the history so far.
     pub fn actions(&self) -> Vec<Action> {
         self.actions.borrow().clone()
     }
 
-    /// The limiter whose action was accepted last.
+    /// Returns the limiter whose action was accepted last, or `None` if none was accepted yet.
     pub fn lease_holder(&self) -> Option<LimiterIndex> {
         let actions = self.actions.borrow();
         let last = actions.iter().rev().find(|action| action.accepted)?;
         Some(LimiterIndex(last.token.proposer))
     }
 
-    /// Accepts connections, with one action each.
+    /// Accepts connections and serves them in separate tasks. Each connection carries one action.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) {
         loop {
             let Ok((stream, _)) = listener.accept().await else {
@@ -78,8 +81,8 @@
             };
             let target = self.clone();
             tokio::task::spawn_local(async move {
-                // The limiter observes a failed or late connection itself.
-                let _ = timeout(READ_TIMEOUT, target.serve_connection(stream)).await;
+                // A connection that fails or times out is closed, which the limiter observes.
+                let _ = timeout(CONNECTION_TIMEOUT, target.serve_connection(stream)).await;
             });
         }
     }
@@ -107,7 +110,7 @@
         writer.write_all(b"OK\n").await
     }
 
-    /// Adds an action to the history; returns its index.
+    /// Adds an action to the history and returns its index there.
     fn record_begin(&self, token: FencingToken, accepted: bool) -> usize {
         let now = self.now();
         let mut actions = self.actions.borrow_mut();
@@ -120,6 +123,7 @@
         actions.len() - 1
     }
 
+    /// Ends the accepted action at `index` of the history.
     fn end(&self, index: usize) {
         let now = self.now();
         self.actions.borrow_mut()[index].to = now;
@@ -129,7 +133,10 @@
         self.action_ended.notify_waiters();
     }
 
-    /// Begins an action when no other is in progress; the error is the highest token seen where it is stale.
+    /// Waits until no other action is in progress and begins an action.
+    ///
+    /// # Errors
+    /// Returns the highest token seen if `token` is stale.
     async fn begin(&self, token: FencingToken) -> Result<(), FencingToken> {
         if !self.checks {
             return Ok(());
@@ -149,7 +156,7 @@
     }
 }
 
-/// The token of a line `ACT <task> <round> <proposer> <incarnation>`.
+/// Parses the token of a line `ACT <task> <round> <proposer> <incarnation>`. Returns `None` if the line is malformed.
 fn parse_action(line: &str) -> Option<FencingToken> {
     let words: Vec<&str> = line.split_whitespace().collect();
     if words.first() != Some(&"ACT") {
--- a/crates/fault-injection/src/testbed.rs
+++ b/crates/fault-injection/src/testbed.rs
@@ -9,15 +9,15 @@
 /// The environment in which a scenario runs.
 #[derive(Clone, Debug)]
 pub struct Testbed {
-    /// The program.
+    /// The limiter's executable.
     pub program: PathBuf,
-    /// Another build of it, which every other limiter runs.
+    /// Another build, which limiters with odd indices run; `None` if all run `program`.
     pub beside: Option<PathBuf>,
-    /// A valid configuration in the platform's form (JSON), whose listening address is replaced.
+    /// A valid configuration in the platform's JSON format. Its listening address is replaced for each limiter.
     pub platform: String,
     /// The folder for the limiters' files.
     pub folder: PathBuf,
-    /// Whether the target checks fencing tokens; without, the run shows what the check is for.
+    /// Whether the target checks fencing tokens. Without the check, a run shows which violations it prevents.
     pub checks: bool,
 }
 
@@ -26,15 +26,15 @@
 pub struct RunReport {
     /// The history of actions at the target.
     pub seen: Vec<Action>,
-    /// The begin and the end of each fault.
+    /// The start and the end of each fault.
     pub marks: Vec<Mark>,
-    /// The datagrams that reached the links.
+    /// The traffic that reached the links.
     pub traffic: LinkTraffic,
-    /// How long the limiters ran.
+    /// The duration of the run.
     pub duration: Duration,
-    /// CPU time of all limiters that ran to the end.
+    /// The total CPU time of the processes that were running at the end.
     pub cpu: Duration,
-    /// The largest peak resident set size of these limiters, in kilobytes.
+    /// The largest peak resident set size of these processes, in kilobytes.
     pub peak_kb: u64,
     /// CPU time of the testbed's own thread: relays, target and fault injection.
     pub testbed_cpu: Duration,
--- a/crates/fault-injection/src/trial.rs
+++ b/crates/fault-injection/src/trial.rs
@@ -1,4 +1,4 @@
-//! One run of a scenario: starts links, target and limiters, and injects the faults of the seed's schedule.
+//! One run of a scenario: starts the links, the target and the limiters, and injects the faults of the seed's schedule.
 
 use crate::limiter::Limiter;
 use crate::limiter_config::{clock_line, product_config};
@@ -20,9 +20,9 @@
 
 /// How long an action takes at the target.
 const ACTION_TIME: Duration = Duration::from_millis(5);
-/// How often connections are reset while that fault lasts.
+/// The interval between resets while [`FaultKind::ResetConnections`] lasts.
 const RESET_INTERVAL: Duration = ACTION_TIME;
-/// The file of the key that all limiters share.
+/// The name of the file with the key that all limiters share.
 const KEY_FILE: &str = "key";
 
 /// A run whose limiters are started.
@@ -30,17 +30,17 @@
     scenario: Scenario,
     seed: u64,
     network: Network,
-    /// Each limiter's link to the target.
+    /// Each limiter's link to the target, by limiter index.
     target_links: Vec<Rc<StreamLink>>,
     clock_rng: RefCell<fastrand::Rng>,
-    /// The limiters; `None` while a fault has stopped one.
+    /// The limiters by index; `None` while a fault keeps one stopped. Empty after the end of the run.
     limiters: RefCell<Vec<Option<Limiter>>>,
     target: Rc<Target>,
     marks: RefCell<Vec<Mark>>,
 }
 
 impl Trial {
-    /// Opens links and target, and starts all limiters.
+    /// Opens the links and the target, and starts all limiters.
     pub(crate) async fn start(
         scenario: &Scenario,
         seed: u64,
@@ -95,13 +95,13 @@
         clock_line(&self.scenario.clocks, &mut self.clock_rng.borrow_mut())
     }
 
-    /// Injects the schedule's faults and reports all observations until the scenario's end.
+    /// Injects the faults of the schedule and returns the observations up to the scenario's end.
     pub(crate) async fn run(self: Rc<Self>) -> RunReport {
         let start = Instant::now();
         let mut rng = fastrand::Rng::with_seed(!self.seed);
         for fault in self.scenario.schedule(self.seed) {
             sleep_until(start + fault.at).await;
-            for limiter in self.struck_limiters(fault.target, &mut rng) {
+            for limiter in self.affected_limiters(fault.target, &mut rng) {
                 tokio::task::spawn_local(self.clone().inject(limiter, fault));
             }
         }
@@ -109,7 +109,8 @@
         self.finish(start).await
     }
 
-    fn struck_limiters(&self, target: FaultTarget, rng: &mut fastrand::Rng) -> Vec<LimiterIndex> {
+    /// Returns the limiters that a fault affects. While no action was accepted, a random limiter stands for the holder.
+    fn affected_limiters(&self, target: FaultTarget, rng: &mut fastrand::Rng) -> Vec<LimiterIndex> {
         let mut random = || LimiterIndex::from_usize(rng.usize(..self.scenario.limiters));
         match target {
             FaultTarget::All => self.scenario.limiter_indices().collect(),
@@ -168,7 +169,7 @@
     async fn pause(&self, limiter: LimiterIndex, duration: Duration) {
         self.signal(limiter, Signal::SIGSTOP);
         sleep(duration).await;
-        // Marked before the process continues, so that none of its later actions counts as done during the pause.
+        // Marked before the process resumes, so that none of its later actions counts as made during the pause.
         self.mark(limiter, MarkEvent::Over(FaultKind::Pause));
         self.signal(limiter, Signal::SIGCONT);
     }
@@ -179,7 +180,7 @@
             .borrow_mut()
             .get_mut(limiter.as_usize())
             .and_then(Option::take);
-        // Another fault has stopped it already, and starts it again.
+        // If another fault has stopped the limiter, that fault also restarts it.
         let Some(mut stopped) = stopped else { return };
         if fault.kind == FaultKind::Terminate {
             stopped.process.terminate().await;
@@ -192,9 +193,9 @@
             Err(_) => MarkEvent::StartFailed,
         };
         self.mark(limiter, event);
-        // After the end of the run there is no place left; the process is killed as it is dropped.
-        if let Some(place) = self.limiters.borrow_mut().get_mut(limiter.as_usize()) {
-            *place = Some(stopped);
+        // After the end of the run the list is empty, and the process is killed when it is dropped here.
+        if let Some(slot) = self.limiters.borrow_mut().get_mut(limiter.as_usize()) {
+            *slot = Some(stopped);
         }
     }
 
@@ -207,18 +208,19 @@
     }
 
     fn signal(&self, limiter: LimiterIndex, signal: Signal) {
-        if let Some(Some(signalled)) = self.limiters.borrow().get(limiter.as_usize()) {
-            signalled.process.signal(signal);
+        if let Some(Some(running)) = self.limiters.borrow().get(limiter.as_usize()) {
+            running.process.signal(signal);
         }
     }
 
+    /// Records a fault's event with the target's current time.
     fn mark(&self, limiter: LimiterIndex, event: MarkEvent) {
         let at = self.target.now();
         self.marks.borrow_mut().push(Mark { at, limiter, event });
     }
 }
 
-/// The build that a limiter runs.
+/// Returns the build that a limiter runs.
 fn program_of(testbed: &Testbed, limiter: LimiterIndex) -> &Path {
     match &testbed.beside {
         Some(beside) if limiter.0 % 2 == 1 => beside,
--- a/crates/fault-injection/src/verdict.rs
+++ b/crates/fault-injection/src/verdict.rs
@@ -1,4 +1,4 @@
-//! The verdict on a history: violations of mutual exclusion, changes of lease holder, and the times without one.
+//! The verdict on a history: violations of mutual exclusion, changes of lease holder, and the gaps between holders.
 
 use crate::scenario::FaultKind;
 use crate::target::Action;
@@ -9,7 +9,8 @@
 #[cfg(test)]
 mod tests;
 
-/// The longest action that a later one is compared with.
+/// How far back overlaps are searched: an action is compared with earlier ones up to the first that ended this long
+/// before it began.
 const OVERLAP_SEARCH_TIME: Duration = Duration::from_secs(1);
 
 /// The event of a fault that a mark records.
@@ -19,11 +20,11 @@
     Began(FaultKind),
     /// The fault is over.
     Over(FaultKind),
-    /// The limiter could not be started again.
+    /// The limiter could not be restarted after the fault.
     StartFailed,
 }
 
-/// The form in histories: `pause`, `pause over`.
+/// Formats the event as histories show it: `pause`, `pause over`, `no start`.
 impl fmt::Display for MarkEvent {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
@@ -34,18 +35,18 @@
     }
 }
 
-/// The moment at which a fault began or ended at a limiter.
+/// The time at which a fault began or ended at a limiter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Mark {
-    /// Time since the target's start.
+    /// The time since the target's start.
     pub at: Duration,
-    /// The limiter.
+    /// The limiter that the fault affects.
     pub limiter: LimiterIndex,
-    /// The event.
+    /// What happened to the fault.
     pub event: MarkEvent,
 }
 
-/// Two accepted actions that show a violation.
+/// Two accepted actions that together violate mutual exclusion.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Violation {
     /// The action that was accepted first.
@@ -57,26 +58,26 @@
 /// The findings on a history.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Verdict {
-    /// Actions that were accepted with a lower token than one before.
+    /// The number of actions that were accepted with a lower token than an earlier one.
     pub stale_tokens: usize,
-    /// Pairs of accepted actions of two tokens that overlapped.
+    /// The number of pairs of accepted actions with different tokens that overlapped in time.
     pub overlaps: usize,
-    /// Accepted actions.
+    /// The number of accepted actions.
     pub accepted: usize,
-    /// Actions that were refused for their tokens.
+    /// The number of actions that were refused because of their tokens.
     pub refused: usize,
-    /// Changes of lease holder.
+    /// The number of changes of lease holder.
     pub changes: usize,
-    /// Of these, changes while the earlier holder was paused.
+    /// The number of these changes during which the earlier holder was paused.
     pub while_paused: usize,
-    /// Times between the last action of one holder and the first of the next.
+    /// The time between the last action of one holder and the first of the next, for each change.
     pub gaps: Vec<Duration>,
-    /// The first violation.
+    /// The first violation; `None` if the history has none.
     pub violation: Option<Violation>,
 }
 
 impl Verdict {
-    /// Whether there is no violation.
+    /// Returns whether there is no violation.
     pub fn holds(&self) -> bool {
         self.stale_tokens == 0 && self.overlaps == 0
     }
@@ -84,7 +85,7 @@
     fn check_order(&mut self, greatest: &Action, action: &Action) {
         if action.token < greatest.token {
             self.stale_tokens += 1;
-            self.show(greatest, action);
+            self.record_violation(greatest, action);
         }
     }
 
@@ -96,12 +97,13 @@
         for other in recent {
             if other.token != action.token && other.to > action.from {
                 self.overlaps += 1;
-                self.show(other, action);
+                self.record_violation(other, action);
             }
         }
     }
 
-    fn show(&mut self, earlier: &Action, later: &Action) {
+    /// Keeps the first violation.
+    fn record_violation(&mut self, earlier: &Action, later: &Action) {
         self.violation.get_or_insert(Violation {
             earlier: *earlier,
             later: *later,
@@ -119,8 +121,8 @@
     }
 }
 
-/// Judges a history. Tokens are compared here independently of how targets check them: order and overlap are found from
-/// the accepted actions.
+/// Judges a history. The check is independent of the target's check of tokens: order and overlap are derived from the
+/// accepted actions alone.
 pub fn judge(actions: &[Action], marks: &[Mark]) -> Verdict {
     let accepted: Vec<&Action> = actions.iter().filter(|action| action.accepted).collect();
     let mut verdict = Verdict {
@@ -144,7 +146,7 @@
     verdict
 }
 
-/// Whether a limiter was paused at a time.
+/// Returns whether a limiter was paused at a time.
 fn is_paused(marks: &[Mark], limiter: LimiterIndex, at: Duration) -> bool {
     let paused = |mark: &Mark| match mark.event {
         MarkEvent::Began(FaultKind::Pause) => Some(true),
--- a/crates/fault-injection/src/verdict/tests.rs
+++ b/crates/fault-injection/src/verdict/tests.rs
@@ -1,4 +1,4 @@
-//! Verdicts on small histories.
+//! Tests of the verdicts on small histories.
 
 use super::*;
 use quartzcleat_lease::FencingToken;
@@ -17,7 +17,7 @@
     incarnation: 1,
 };
 
-/// An action that lasted for a range of milliseconds and was accepted.
+/// Returns an accepted action that lasted from the start to the end of `span_ms`, in milliseconds.
 fn accepted(span_ms: Range<u64>, token: FencingToken) -> Action {
     Action {
         from: Duration::from_millis(span_ms.start),
@@ -27,7 +27,7 @@
     }
 }
 
-/// An action that was refused.
+/// Returns a refused action that lasted from the start to the end of `span_ms`, in milliseconds.
 fn refused(span_ms: Range<u64>, token: FencingToken) -> Action {
     Action {
         accepted: false,
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn other_holder_after_a_pause_is_one_change_with_one_gap() {
+fn next_holder_after_a_gap_is_one_change_with_one_gap() {
     let history = [accepted(0..5, FIRST), accepted(20..25, SECOND)];
     let verdict = judge(&history, &[]);
     assert_eq!(verdict.changes, 1);
@@ -77,7 +77,8 @@
     assert_eq!(verdict.overlaps, 1);
 }
 
-/// The verdict on a change of holder 50 ms after the start, where the first holder is paused for a range of milliseconds.
+/// Returns the verdict on a change of holder 50 ms after the start, with the first holder paused during `span_ms`, in
+/// milliseconds.
 fn verdict_with_first_holder_paused(span_ms: Range<u64>) -> Verdict {
     let mark = |at_ms, event| Mark {
         at: Duration::from_millis(at_ms),
@@ -92,11 +93,11 @@
 }
 
 #[test]
-fn change_while_the_holder_is_paused_counts_as_such() {
+fn change_while_the_holder_is_paused_counts_as_while_paused() {
     assert_eq!(verdict_with_first_holder_paused(10..90).while_paused, 1);
 }
 
 #[test]
-fn change_after_the_pause_of_the_holder_does_not_count_as_during_it() {
+fn change_after_the_pause_does_not_count_as_while_paused() {
     assert_eq!(verdict_with_first_holder_paused(10..40).while_paused, 0);
 }
