--- a/crates/bench/src/trial/mod.rs
+++ b/crates/bench/src/trial/mod.rs
@@ -118,10 +118,10 @@
     fn testbed(&self, platform: &str, part: &str) -> Testbed {
         Testbed {
             program: self.program.clone(),
-            beside: self.beside.clone(),
-            platform: platform.to_owned(),
+            alternate_program: self.beside.clone(),
+            platform_config: platform.to_owned(),
             folder: self.folder.join(part),
-            checks: !self.unchecked,
+            checks_tokens: !self.unchecked,
         }
     }
 
--- a/crates/bench/src/trial/plot.rs
+++ b/crates/bench/src/trial/plot.rs
@@ -90,7 +90,7 @@
 impl Rows {
     fn of(report: &RunReport, spans: &[FaultSpan]) -> Self {
         let acted = report
-            .seen
+            .actions
             .iter()
             .map(|action| LimiterIndex(action.token.proposer));
         let faulty = spans.iter().map(|span| span.limiter);
@@ -137,7 +137,7 @@
     root.fill(&WHITE)?;
     let title = format!(
         "seed {seed}: {} limiters, {} acceptors; operations accepted (green), rejected (red)",
-        scenario.limiters, scenario.voters
+        scenario.limiters, scenario.acceptors
     );
     let duration: Duration = report.duration;
     let mut chart = ChartBuilder::on(&root)
@@ -156,7 +156,7 @@
     for span in &spans {
         draw_fault(&mut chart, &rows, span)?;
     }
-    for action in &report.seen {
+    for action in &report.actions {
         draw_action(&mut chart, &rows, action)?;
     }
     root.present()?;
--- a/crates/bench/src/trial/report.rs
+++ b/crates/bench/src/trial/report.rs
@@ -98,7 +98,7 @@
              testbed: {:.2} s of CPU per trial\n",
             self.rows.len(),
             self.scenario.limiters,
-            self.scenario.voters,
+            self.scenario.acceptors,
             self.elapsed.as_secs_f64(),
             self.sum(|row| row.accepted),
             self.sum(|row| row.refused),
@@ -124,7 +124,7 @@
         let report = json!({
             "story": self.file,
             "limiters": self.scenario.limiters,
-            "voters": self.scenario.voters,
+            "voters": self.scenario.acceptors,
             "holds": self.rows.iter().all(Row::holds),
             "accepted": self.sum(|row| row.accepted),
             "refused": self.sum(|row| row.refused),
--- a/crates/fault-injection/src/limiter_config.rs
+++ b/crates/fault-injection/src/limiter_config.rs
@@ -28,10 +28,10 @@
         let line = format!("    {}: {address}\n", limiter_name(peer));
         text += &line;
     }
-    let voters: Vec<String> = scenario.acceptor_indices().map(limiter_name).collect();
+    let acceptors: Vec<String> = scenario.acceptor_indices().map(limiter_name).collect();
     let acceptors_and_task = format!(
         "  voters: [{}]\n  tasks:\n    - name: beat\n      target: {target}\n      every: {}ms\n      longest: {}ms\n",
-        voters.join(", "),
+        acceptors.join(", "),
         scenario.action_interval.as_millis(),
         scenario.max_action_time.as_millis()
     );
--- a/crates/fault-injection/src/row.rs
+++ b/crates/fault-injection/src/row.rs
@@ -56,8 +56,8 @@
     /// Judges the report of a run and returns its row.
     #[must_use]
     pub fn of(scenario: &Scenario, seed: u64, report: &RunReport) -> Row {
-        let verdict = judge(&report.seen, &report.marks);
-        let empty = verdict.changes < scenario.changes;
+        let verdict = judge(&report.actions, &report.marks);
+        let empty = verdict.changes < scenario.required_changes;
         let micros = |gap: &Duration| gap.as_micros() as u64;
         Row {
             seed,
--- a/crates/fault-injection/src/row/tests.rs
+++ b/crates/fault-injection/src/row/tests.rs
@@ -24,7 +24,7 @@
     let text = "limiters: 3\nvoters: 3\nend: 2s\n";
     let scenario = Scenario::read("s.yaml", text).expect("the scenario is valid");
     let report = RunReport {
-        seen: actions.to_vec(),
+        actions: actions.to_vec(),
         marks,
         ..RunReport::default()
     };
--- a/crates/fault-injection/src/scenario/mod.rs
+++ b/crates/fault-injection/src/scenario/mod.rs
@@ -134,7 +134,7 @@
     /// The number of limiters.
     pub limiters: usize,
     /// The number of acceptors among them, which is odd.
-    pub voters: usize,
+    pub acceptors: usize,
     /// The duration of a lease.
     pub lease_length: Duration,
     /// The interval between the holder's actions.
@@ -154,7 +154,7 @@
     /// The duration of the run.
     pub duration: Duration,
     /// The minimum number of changes of lease holder; a run with fewer is empty.
-    pub changes: usize,
+    pub required_changes: usize,
 }
 
 impl Scenario {
@@ -165,11 +165,11 @@
 
     /// Returns the indices of the acceptors, which are the first limiters.
     pub(crate) fn acceptor_indices(&self) -> impl Iterator<Item = LimiterIndex> + use<> {
-        (0..self.voters).map(LimiterIndex::from_usize)
+        (0..self.acceptors).map(LimiterIndex::from_usize)
     }
 
     /// Returns whether a limiter is an acceptor.
     pub(crate) fn is_acceptor(&self, limiter: LimiterIndex) -> bool {
-        limiter.as_usize() < self.voters
+        limiter.as_usize() < self.acceptors
     }
 }
--- a/crates/fault-injection/src/scenario/read.rs
+++ b/crates/fault-injection/src/scenario/read.rs
@@ -14,7 +14,7 @@
 const DEFAULT_ACTION_INTERVAL: Duration = Duration::from_millis(20);
 const DEFAULT_MAX_ACTION_TIME: Duration = Duration::from_millis(100);
 const DEFAULT_CONFIGURED_DRIFT: f64 = 0.01;
-const DEFAULT_CHANGES: usize = 1;
+const DEFAULT_REQUIRED_CHANGES: usize = 1;
 
 /// The former names of a scenario's keys.
 const ALIASES: &[Alias] = &[
@@ -94,10 +94,10 @@
     let map = Reader::new(file, "", tree, faults).with_aliases(ALIASES);
     let mut keys = Keys::new(map, faults);
     let limiters = keys.required_count("limiters", 1..=300).unwrap_or(1);
-    let voters = keys.count("acceptors", 1..=limiters as u64).unwrap_or(1);
+    let acceptors = keys.count("acceptors", 1..=limiters as u64).unwrap_or(1);
     let scenario = Scenario {
         limiters,
-        voters,
+        acceptors,
         lease_length: keys
             .duration("lease_duration")
             .unwrap_or(DEFAULT_LEASE_LENGTH),
@@ -117,12 +117,12 @@
         },
         random_faults: keys.count("generated_faults", 0..=100).unwrap_or(0),
         duration: keys.required_duration("end").unwrap_or_default(),
-        changes: keys
+        required_changes: keys
             .count("required_holder_changes", 0..=1_000)
-            .unwrap_or(DEFAULT_CHANGES),
+            .unwrap_or(DEFAULT_REQUIRED_CHANGES),
         faults: read_faults(file, &mut keys),
     };
-    if voters.is_multiple_of(2) {
+    if acceptors.is_multiple_of(2) {
         keys.map.fault(
             "acceptors",
             "even; an odd number has a majority on one side of any split",
--- a/crates/fault-injection/src/scenario/write.rs
+++ b/crates/fault-injection/src/scenario/write.rs
@@ -13,7 +13,7 @@
              clock_drift: {}\nclock_offset: {}\nloss: {}\nduplication: {}\ndelay: {}\ngenerated_faults: {}\n\
              end: {}\nrequired_holder_changes: {}\n",
             self.limiters,
-            self.voters,
+            self.acceptors,
             time(self.lease_length),
             time(self.action_interval),
             time(self.max_action_time),
@@ -25,7 +25,7 @@
             time(self.links.max_delay),
             self.random_faults,
             time(self.duration),
-            self.changes,
+            self.required_changes,
         );
         if !self.faults.is_empty() {
             text += "faults:\n";
--- a/crates/fault-injection/src/shrink.rs
+++ b/crates/fault-injection/src/shrink.rs
@@ -58,9 +58,9 @@
 
 /// Returns scenarios with fewer limiters. Only limiters that are not acceptors are removed.
 fn with_fewer_limiters(scenario: &Scenario) -> Vec<Scenario> {
-    [scenario.voters, scenario.limiters.div_ceil(2)]
+    [scenario.acceptors, scenario.limiters.div_ceil(2)]
         .into_iter()
-        .filter(|limiters| (scenario.voters..scenario.limiters).contains(limiters))
+        .filter(|limiters| (scenario.acceptors..scenario.limiters).contains(limiters))
         .map(|limiters| Scenario {
             limiters,
             ..scenario.clone()
@@ -69,8 +69,8 @@
 }
 
 fn with_fewer_acceptors(scenario: &Scenario) -> Option<Scenario> {
-    (scenario.voters > MIN_ACCEPTORS).then(|| Scenario {
-        voters: MIN_ACCEPTORS,
+    (scenario.acceptors > MIN_ACCEPTORS).then(|| Scenario {
+        acceptors: MIN_ACCEPTORS,
         ..scenario.clone()
     })
 }
--- a/crates/fault-injection/src/shrink/tests.rs
+++ b/crates/fault-injection/src/shrink/tests.rs
@@ -18,7 +18,7 @@
         candidate.faults.iter().any(|fault| fault.kind == kind)
     });
     assert_eq!(
-        (small.faults.len(), small.limiters, small.voters),
+        (small.faults.len(), small.limiters, small.acceptors),
         (1, 3, 3)
     );
     assert_eq!(small.faults[0].kind, kind);
--- a/crates/fault-injection/src/target.rs
+++ b/crates/fault-injection/src/target.rs
@@ -36,7 +36,7 @@
     action_ended: Notify,
     /// Whether tokens are checked and actions executed one at a time. Without the check, a run shows which violations
     /// it prevents.
-    checks: bool,
+    checks_tokens: bool,
     /// How long an action takes.
     action_time: Duration,
     /// All actions, in the order in which they were accepted or refused.
@@ -45,12 +45,12 @@
 
 impl Target {
     /// Creates a target with an empty history.
-    pub fn new(checks: bool, action_time: Duration) -> Rc<Self> {
+    pub fn new(checks_tokens: bool, action_time: Duration) -> Rc<Self> {
         Rc::new(Target {
             start: Instant::now(),
             fence: Cell::default(),
             action_ended: Notify::new(),
-            checks,
+            checks_tokens,
             action_time,
             actions: RefCell::default(),
         })
@@ -138,7 +138,7 @@
     /// # Errors
     /// Returns the highest token seen if `token` is stale.
     async fn begin(&self, token: FencingToken) -> Result<(), FencingToken> {
-        if !self.checks {
+        if !self.checks_tokens {
             return Ok(());
         }
         loop {
--- a/crates/fault-injection/src/testbed.rs
+++ b/crates/fault-injection/src/testbed.rs
@@ -12,20 +12,20 @@
     /// The limiter's executable.
     pub program: PathBuf,
     /// Another build, which limiters with odd indices run; `None` if all run `program`.
-    pub beside: Option<PathBuf>,
+    pub alternate_program: Option<PathBuf>,
     /// A valid configuration in the platform's JSON format. Its listening address is replaced for each limiter.
-    pub platform: String,
+    pub platform_config: String,
     /// The folder for the limiters' files.
     pub folder: PathBuf,
     /// Whether the target checks fencing tokens. Without the check, a run shows which violations it prevents.
-    pub checks: bool,
+    pub checks_tokens: bool,
 }
 
 /// The observations of a run.
 #[derive(Clone, Debug, Default)]
 pub struct RunReport {
     /// The history of actions at the target.
-    pub seen: Vec<Action>,
+    pub actions: Vec<Action>,
     /// The start and the end of each fault.
     pub marks: Vec<Mark>,
     /// The traffic that reached the links.
--- a/crates/fault-injection/src/trial.rs
+++ b/crates/fault-injection/src/trial.rs
@@ -48,7 +48,7 @@
     ) -> std::io::Result<Rc<Trial>> {
         std::fs::create_dir_all(&testbed.folder)?;
         std::fs::write(testbed.folder.join(KEY_FILE), seed.to_be_bytes())?;
-        let target = Target::new(testbed.checks, ACTION_TIME);
+        let target = Target::new(testbed.checks_tokens, ACTION_TIME);
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let target_address = listener.local_addr()?;
         tokio::task::spawn_local(target.clone().serve(listener));
@@ -84,7 +84,8 @@
         let files = ProcessFiles::in_folder(&testbed.folder, &limiter.to_string());
         let port = self.network.address(limiter).port();
         let listen = SocketAddr::from((limiter_ip(self.seed, limiter), port));
-        let mut platform_config: serde_json::Value = serde_json::from_str(&testbed.platform)?;
+        let mut platform_config: serde_json::Value =
+            serde_json::from_str(&testbed.platform_config)?;
         platform_config["listen"] = listen.to_string().into();
         std::fs::write(&files.platform_config, platform_config.to_string())?;
         let program = program_of(testbed, limiter);
@@ -132,7 +133,7 @@
             report.peak_kb = report.peak_kb.max(usage.peak_kb);
             limiter.process.kill().await;
         }
-        report.seen = self.target.actions();
+        report.actions = self.target.actions();
         report.marks.clone_from(&self.marks.borrow());
         report.traffic = self.network.traffic();
         report.duration = start.elapsed();
@@ -222,8 +223,8 @@
 
 /// Returns the build that a limiter runs.
 fn program_of(testbed: &Testbed, limiter: LimiterIndex) -> &Path {
-    match &testbed.beside {
-        Some(beside) if limiter.0 % 2 == 1 => beside,
+    match &testbed.alternate_program {
+        Some(alternate) if limiter.0 % 2 == 1 => alternate,
         _ => &testbed.program,
     }
 }
--- a/tests/leases.rs
+++ b/tests/leases.rs
@@ -24,18 +24,18 @@
     let folder = temporary_folder(&format!("trial-{seed}"));
     let testbed = Testbed {
         program: PathBuf::from(PROGRAM),
-        beside: None,
-        platform: PLATFORM_CONFIG.to_owned(),
+        alternate_program: None,
+        platform_config: PLATFORM_CONFIG.to_owned(),
         folder: folder.clone(),
-        checks: true,
+        checks_tokens: true,
     };
     let report = run(&scenario, seed, &testbed).expect("the scenario runs");
     // Best effort: a leftover folder does not affect the result.
     let _ = std::fs::remove_dir_all(&folder);
-    let verdict = judge(&report.seen, &report.marks);
+    let verdict = judge(&report.actions, &report.marks);
     assert!(verdict.holds(), "seed {seed}: {verdict:?}");
     assert!(
-        verdict.changes >= scenario.changes,
+        verdict.changes >= scenario.required_changes,
         "seed {seed}: too few changes of the holder, {verdict:?}"
     );
     verdict
