--- a/crates/fakes/src/harness.rs
+++ b/crates/fakes/src/harness.rs
@@ -187,9 +187,12 @@
                 sleep(POLL_INTERVAL).await;
             }
         };
-        timeout(READY_TIMEOUT, ready)
-            .await
-            .map_err(|_| io::Error::other(format!("limiter {limiter} is not ready")))
+        timeout(READY_TIMEOUT, ready).await.map_err(|_| {
+            io::Error::other(format!(
+                "limiter {limiter} did not become ready within {} s",
+                READY_TIMEOUT.as_secs()
+            ))
+        })
     }
 
     /// Records that a limiter learns the state of each listed host from its configuration.
--- a/crates/fakes/src/resp.rs
+++ b/crates/fakes/src/resp.rs
@@ -53,7 +53,7 @@
     std::str::from_utf8(text)
         .ok()
         .and_then(|text| text.parse().ok())
-        .ok_or_else(|| malformed("a length is not a number"))
+        .ok_or_else(|| malformed("malformed RESP: length is not a number"))
 }
 
 /// Parses the command at the start of `bytes` into its arguments. Returns `None` while it is incomplete.
@@ -62,11 +62,13 @@
         return Ok(None);
     };
     let Some(count) = head.text.strip_prefix(b"*") else {
-        return Err(malformed("a command is not an array"));
+        return Err(malformed("malformed RESP: command is not an array"));
     };
     let count = parse_number(count)?;
     if !(1..=MAX_ARGUMENTS).contains(&count) {
-        return Err(malformed("a command has 1 to 16 arguments"));
+        return Err(malformed(
+            "malformed RESP: command does not have 1 to 16 arguments",
+        ));
     }
     let mut arguments = Vec::new();
     let mut position = head.next;
@@ -89,12 +91,12 @@
         return Ok(None);
     };
     let Some(length) = head.text.strip_prefix(b"$") else {
-        return Err(malformed("an argument is not a bulk string"));
+        return Err(malformed("malformed RESP: argument is not a bulk string"));
     };
     let length = usize::try_from(parse_number(length)?)
-        .map_err(|_| malformed("an argument has no length"))?;
+        .map_err(|_| malformed("malformed RESP: argument length is negative"))?;
     if length > MAX_VALUE_BYTES {
-        return Err(malformed("an argument is too long"));
+        return Err(malformed("malformed RESP: argument exceeds 256 KiB"));
     }
     Ok(bulk_text(bytes, start, &head, length))
 }
@@ -118,8 +120,8 @@
     };
     match head.text.split_first() {
         Some((b'$', length)) => {
-            let length =
-                usize::try_from(parse_number(length)?).map_err(|_| malformed("a null reply"))?;
+            let length = usize::try_from(parse_number(length)?)
+                .map_err(|_| malformed("malformed RESP: reply is null"))?;
             let bulk = bulk_text(bytes, 0, &head, length);
             Ok(bulk.map(|bulk| Parsed {
                 value: Reply::Bulk(bulk.value),
@@ -130,7 +132,7 @@
             value: Reply::Line(String::from_utf8_lossy(head.text).into_owned()),
             length: head.next,
         })),
-        _ => Err(malformed("a reply of an unknown type")),
+        _ => Err(malformed("malformed RESP: unknown reply type")),
     }
 }
 
@@ -149,7 +151,9 @@
     input: &mut Vec<u8>,
 ) -> io::Result<bool> {
     if input.len() > MAX_BUFFERED_BYTES {
-        return Err(malformed("a message is too long"));
+        return Err(malformed(
+            "malformed RESP: buffered message exceeds 512 KiB",
+        ));
     }
     Ok(stream.read_buf(input).await? > 0)
 }
