--- a/crates/config/src/deployment.rs
+++ b/crates/config/src/deployment.rs
@@ -1,5 +1,5 @@
-//! The platform's settings of a deployment, with their lines: classes, plans, times and rules, as JSON or, for people, as
-//! YAML with units.
+//! The platform's settings of a deployment with their source lines: classes, plans, durations and limits. The file is JSON,
+//! or YAML in which durations have units.
 
 mod consistency;
 mod names;
@@ -16,30 +16,30 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The settings of a deployment, read and checked.
+/// The validated settings of a deployment.
 #[derive(Clone, Debug)]
 pub struct Deployment {
-    /// The file's name, as it was given.
+    /// The file name given by the caller, for error messages.
     pub file: Arc<str>,
-    /// The settings as a tree with places. In a limiter's complete configuration this is the part below `settings`.
+    /// The settings as a tree with source locations. In a limiter's complete configuration, the part below `settings`.
     pub tree: Node,
-    /// The settings for the decision engine; `me` and `zone` differ between limiters.
+    /// The settings of the decision engine. `me` and `zone` differ between the limiters of a deployment.
     pub settings: Settings,
-    /// The names of the zones, by their indices.
+    /// The names of the zones, indexed by zone ID.
     pub zone_names: Vec<String>,
 }
 
-/// A change of one key.
+/// A change to one key of a deployment.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Change {
-    /// The path of the key.
+    /// The path of the key, such as `limits.sendCap`.
     pub path: String,
-    /// The new value; `None` removes the key.
+    /// The new value, or `None` to remove the key.
     pub value: Option<Content>,
 }
 
 impl Change {
-    /// A change that gives a key another value.
+    /// Creates a change that sets a key to `value`.
     pub fn set(path: impl Into<String>, value: Content) -> Self {
         Change {
             path: path.into(),
@@ -47,7 +47,7 @@
         }
     }
 
-    /// A change that removes a key.
+    /// Creates a change that removes a key.
     pub fn remove(path: impl Into<String>) -> Self {
         Change {
             path: path.into(),
@@ -57,10 +57,11 @@
 }
 
 impl Deployment {
-    /// Reads a file's text.
+    /// Parses and validates the text of a file. The settings are below the key `settings` if the file has one, otherwise at
+    /// the top level.
     ///
     /// # Errors
-    /// All faults of the file.
+    /// Returns all faults of the file.
     pub fn read(file: &str, text: &str) -> Result<Deployment, Faults> {
         let file: Arc<str> = file.into();
         let tree = tree::parse(&file, text)?;
@@ -68,10 +69,10 @@
         Deployment::from_tree(file, tree)
     }
 
-    /// Reads the settings from their tree.
+    /// Decodes and validates the settings of a parsed tree.
     ///
     /// # Errors
-    /// All faults of the tree.
+    /// Returns all faults of the tree.
     pub fn from_tree(file: Arc<str>, tree: Node) -> Result<Deployment, Faults> {
         let mut faults = Faults::default();
         if !matches!(tree.content, Content::Map(_)) {
@@ -93,14 +94,14 @@
         faults.into_result(deployment)
     }
 
-    /// The same deployment with some keys changed.
+    /// Returns a copy of the deployment with `changes` applied in order.
     ///
     /// # Errors
-    /// All faults of the changed settings.
+    /// Returns all faults of the changed settings.
     pub fn with(&self, changes: &[Change]) -> Result<Deployment, Faults> {
         let mut tree = self.tree.clone();
         for Change { path, value } in changes {
-            // A path that does not exist leaves the tree as it is.
+            // A path that does not exist leaves the tree unchanged.
             match value {
                 Some(value) => {
                     tree.set(path, value.clone());
@@ -113,7 +114,7 @@
         Deployment::from_tree(self.file.clone(), tree)
     }
 
-    /// The line of a key, or of the nearest key above it that exists.
+    /// Returns the line of a key, or of its nearest ancestor in the file.
     #[must_use]
     pub fn line(&self, path: &str) -> u32 {
         let mut path = path;
@@ -128,7 +129,7 @@
         }
     }
 
-    /// The keys that are read, with their nodes.
+    /// Returns the leaves whose keys are in the table of known keys, in file order.
     #[must_use]
     pub fn keys(&self) -> Vec<Leaf<'_>> {
         let leaves = self.tree.leaves();
@@ -139,7 +140,8 @@
     }
 }
 
-/// The tree with all durations as numbers of nanoseconds. Invalid durations and probable misspellings of keys are faults.
+/// Returns a copy of the tree with all durations as numbers of nanoseconds. Adds a fault for each invalid duration and each
+/// probable misspelling of a key.
 fn with_times_in_nanos(file: &Arc<str>, tree: &Node, faults: &mut Faults) -> Node {
     let mut normalized = tree.clone();
     for Leaf { path, node } in tree.leaves() {
@@ -151,7 +153,7 @@
             continue;
         }
         match quantity::time(node) {
-            // The path exists, as it is a leaf of the same tree.
+            // `set` succeeds: the path is a leaf of the same tree.
             Ok(nanos) => {
                 normalized.set(&path, Content::Number(nanos as f64));
             }
@@ -161,7 +163,7 @@
     normalized
 }
 
-/// Decodes the normalized tree. A fault is placed where its key stands in the original one.
+/// Decodes the normalized tree. Faults are located by their keys in the original tree.
 fn decode(
     file: &Arc<str>,
     tree: &Node,
--- a/crates/config/src/deployment/consistency.rs
+++ b/crates/config/src/deployment/consistency.rs
@@ -1,4 +1,4 @@
-//! Checks of settings that are valid by themselves and contradict each other.
+//! Checks for settings that are valid on their own and contradict each other.
 
 use super::Deployment;
 use crate::fault::Faults;
@@ -7,7 +7,8 @@
 use crate::tree::Place;
 use quartzcleat_decision::api::{Class, Effect, Plan, Settings};
 
-/// A contradiction between settings. The text names the remedy; file, line and key are added to it.
+/// A contradiction between settings. The message names the remedy, and [`Fault`](crate::fault::Fault) adds file, line and
+/// key.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 enum Contradiction {
     #[error("missing; requests name their class")]
@@ -76,7 +77,7 @@
             .add(&self.deployment.file, place, key, contradiction);
     }
 
-    /// Checks a class, whose object has a path in the file.
+    /// Checks a class. `path` is the path of its object in the file.
     fn class(&mut self, path: &str, class: &Class) {
         let key = |key| join(path, key);
         if class.name.is_empty() {
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Checks a plan, whose object has a path in the file.
+    /// Checks a plan. `path` is the path of its object in the file.
     fn plan(&mut self, path: &str, plan: &Plan) {
         let key = |key| join(path, key);
         if plan.name.is_empty() {
--- a/crates/config/src/deployment/names.rs
+++ b/crates/config/src/deployment/names.rs
@@ -1,4 +1,4 @@
-//! The names by which formulas refer to settings: `plans.guide.burst`, `classes.bed-hold.latency_objective`,
+//! Resolution of the setting names that formulas use: `plans.guide.burst`, `classes.bed-hold.latency_objective`,
 //! `limits.max_attempts`, `safety.drain_grace`.
 
 use super::Deployment;
@@ -7,18 +7,18 @@
 use crate::reader::{present_name, Alias};
 use quartzcleat_decision::api::{Class, Plan, Settings};
 
-/// How the value of a setting is read from the object that has it.
+/// The function that returns a setting's value from its object.
 enum Read<T> {
     Number(fn(&T) -> f64),
     /// A duration in nanoseconds.
     Time(fn(&T) -> u64),
 }
 
-/// A setting that formulas can name.
+/// A setting that formulas can refer to.
 struct Field<T> {
-    /// Its name in a formula.
+    /// The name in formulas.
     name: &'static str,
-    /// Its key in the file, within the object that has it.
+    /// The key in the file, relative to the object.
     key: &'static str,
     read: Read<T>,
 }
@@ -39,7 +39,7 @@
     }
 }
 
-/// The settings of one kind of object, with the former names of some.
+/// The settings of one type of object, and their former names.
 struct Section<T: 'static> {
     fields: &'static [Field<T>],
     aliases: &'static [Alias],
@@ -151,7 +151,7 @@
     settings.limiters.count.into()
 });
 
-/// A part of a name that is unknown, with the parts that are known in its position.
+/// An unknown part of a name, with the parts that are valid in its position.
 struct UnknownPart {
     part: String,
     known: Vec<String>,
@@ -184,10 +184,10 @@
 }
 
 impl Deployment {
-    /// The setting that a name stands for.
+    /// Returns the setting that a name refers to.
     ///
     /// # Errors
-    /// A part of the name is unknown.
+    /// Returns an error if a part of the name is unknown.
     pub fn resolve(&self, name: &str) -> Result<SettingValue, UnknownSetting> {
         let settings = &self.settings;
         let parts: Vec<&str> = name.split('.').collect();
@@ -227,7 +227,8 @@
 }
 
 impl<T> Section<T> {
-    /// The value of a field, by its present or its former name. `key_prefix` is the path of the object in the file.
+    /// Returns the value of the field with this present or former name. `key_prefix` is the path of the object in the file,
+    /// with a trailing dot.
     fn value(&self, name: &str, object: &T, key_prefix: &str) -> Result<SettingValue, UnknownPart> {
         let name = present_name(name, self.aliases);
         let names: Vec<_> = self.fields.iter().map(|field| field.name).collect();
--- a/crates/config/src/deployment/tests.rs
+++ b/crates/config/src/deployment/tests.rs
@@ -1,4 +1,4 @@
-//! Deployments are read with units and names, and all faults are found with their lines.
+//! Tests of reading deployments: units, setting names, and faults with their lines.
 
 use super::*;
 
@@ -119,7 +119,7 @@
         .is_err());
 }
 
-/// A name of a setting, and its former name.
+/// The present and the former name of each renamed setting.
 const RENAMED: [(&str, &str); 18] = [
     ("plans.guide.max_concurrent_attempts", "plans.guide.open"),
     ("plans.guide.weight", "plans.guide.worth"),
--- a/crates/config/src/deployment/unknown_keys.rs
+++ b/crates/config/src/deployment/unknown_keys.rs
@@ -1,5 +1,5 @@
-//! Finds misspelled keys. The platform's settings have more keys than are read here, so that an unknown key is a fault only
-//! where it resembles a key that is read and missing.
+//! Detection of misspelled keys. The platform's settings have more keys than are read here, so an unknown key is a fault
+//! only if it resembles a known key that is missing.
 
 use crate::fault::{nearest, Faults};
 use crate::key_path::{join, split_parent};
@@ -7,10 +7,10 @@
 use crate::tree::{Node, Place};
 use std::sync::Arc;
 
-/// An unknown key that is at least this similar to a missing one counts as its misspelling.
+/// Jaro-Winkler similarity (0 to 1) above which an unknown key counts as a misspelling of a missing one.
 const MIN_SIMILARITY: f64 = 0.93;
 
-/// Adds a fault if the unknown key at `path` is probably a misspelling.
+/// Adds a fault if the unknown key at `path` is probably a misspelling of a missing key.
 pub(super) fn check(file: &Arc<str>, path: &str, place: Place, tree: &Node, faults: &mut Faults) {
     let (parent, name) = split_parent(path);
     let pattern = parent_pattern(parent);
@@ -26,13 +26,13 @@
     }
 }
 
-/// The last part of a key's name, if the key stands directly below `parent_pattern`.
+/// Returns the last part of a key's pattern, if the key is directly below `parent_pattern`.
 fn name_below(key: &SettingKey, parent_pattern: &str) -> Option<&'static str> {
     let (parent, name) = split_parent(key.pattern);
     (parent == parent_pattern).then_some(name)
 }
 
-/// The path with `N` in place of its indices.
+/// Returns the path with its indices replaced by `N`.
 fn parent_pattern(parent: &str) -> String {
     let parts: Vec<_> = parent
         .split('.')
--- a/crates/config/src/fault.rs
+++ b/crates/config/src/fault.rs
@@ -1,19 +1,19 @@
-//! Faults of a file: each names its place, its key and the remedy.
+//! Configuration faults: each names its location, its key and the remedy.
 
 use crate::tree::Place;
 use std::fmt;
 use std::sync::Arc;
 
-/// One fault of a file.
+/// One fault of a configuration file.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub struct Fault {
-    /// The file's name, as it was given.
+    /// The file name given by the caller.
     pub file: Arc<str>,
-    /// The place in it.
+    /// The location of the fault in the file.
     pub place: Place,
-    /// The key with those above it; empty where the fault concerns the whole file.
+    /// The path of the key; empty if the fault concerns the whole file.
     pub key: String,
-    /// The problem and its remedy.
+    /// The message: the problem and, where it is not obvious, the remedy.
     pub problem: String,
 }
 
@@ -27,12 +27,12 @@
     }
 }
 
-/// All faults of a file, in the order in which they were found.
+/// The faults of a file, in the order in which they were found. Displayed as one line per fault.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Faults(pub Vec<Fault>);
 
 impl Faults {
-    /// Adds a fault.
+    /// Appends a fault whose message is the text of `problem`.
     pub fn add(
         &mut self,
         file: &Arc<str>,
@@ -48,16 +48,16 @@
         });
     }
 
-    /// Whether there are no faults.
+    /// Returns whether no fault was found.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// The value, if there are no faults.
+    /// Returns `value` if no fault was found.
     ///
     /// # Errors
-    /// There are faults.
+    /// Returns the faults if there are any.
     pub fn into_result<T>(self, value: T) -> Result<T, Faults> {
         if self.is_empty() {
             Ok(value)
@@ -79,10 +79,11 @@
 
 impl std::error::Error for Faults {}
 
-/// Two words with a higher similarity may be one word and its misspelling.
+/// Jaro-Winkler similarity (0 to 1) above which an unknown word may be a misspelling of a known one.
 const MIN_SIMILARITY: f64 = 0.82;
 
-/// The known word that is most similar to an unknown one, for "did you mean"; none where no word is similar enough.
+/// Returns the known word that is most similar to `unknown`, for "did you mean" hints. Returns `None` if no word is similar
+/// enough.
 pub fn nearest<'a>(unknown: &str, known: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
     known
         .into_iter()
--- a/crates/config/src/formula.rs
+++ b/crates/config/src/formula.rs
@@ -1,8 +1,8 @@
-//! Values written as formulas over a deployment's settings: `plans.guide.burst * 1.1`, `classes.bed-hold.aim + 50ms`.
+//! Formulas over a deployment's settings: `plans.guide.burst * 1.1`, `classes.bed-hold.aim + 50ms`.
 //!
-//! Names and units are resolved here, and evalexpr does the arithmetic. Whether a formula is a duration or a plain number is
-//! found by evaluating it in two units of time: a duration scales with the unit, a number does not. A result that does
-//! neither mixes the two and is rejected.
+//! This module resolves names and units; evalexpr does the arithmetic. To tell durations from plain numbers, a formula is
+//! evaluated in two units of time: a duration scales with the unit, and a plain number is the same in both. A formula with
+//! any other result mixes the two and is rejected.
 
 mod scan;
 #[cfg(test)]
@@ -14,72 +14,73 @@
 use scan::{scan, Token};
 use std::collections::BTreeSet;
 
-/// The two units of time, in nanoseconds, in which a formula is evaluated. Their ratio is exact in binary.
+/// Nanoseconds of the first unit of time in which a formula is evaluated, one second.
 const SECOND_NANOS: f64 = 1e9;
+/// Ratio of the first unit to the second; a power of two, so that scaling is exact.
 const UNIT_RATIO: f64 = 8.0;
-/// The relative error up to which two results count as equal.
+/// Relative difference up to which two results count as equal.
 const TOLERANCE: f64 = 1e-9;
 
-/// The setting that a name stands for, with its value in force.
+/// A setting that a name of a formula refers to, with its current value.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SettingValue {
-    /// The value; a duration in nanoseconds.
+    /// The value; nanoseconds if it is a duration.
     pub value: f64,
-    /// Whether it is a duration.
+    /// Whether the value is a duration.
     pub is_time: bool,
-    /// The key that it is read from.
+    /// The path of the setting's key in the file.
     pub key: String,
 }
 
-/// The value of a formula, and the keys that it depends on. `T` is `f64` or, for durations, `u64` in nanoseconds.
+/// The value of a formula of known type, and the keys that it depends on. `T` is `f64`, or `u64` nanoseconds for durations.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Evaluated<T> {
-    /// The value.
+    /// The value of the formula.
     pub value: T,
     /// The keys of the settings that it depends on.
     pub keys: BTreeSet<String>,
 }
 
-/// The value of a formula that may be a duration.
+/// The value of a formula that is a duration or a plain number.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FormulaValue {
-    /// The value; a duration in nanoseconds.
+    /// The value; nanoseconds if it is a duration.
     pub value: f64,
-    /// Whether it is a duration.
+    /// Whether the value is a duration.
     pub is_time: bool,
     /// The keys of the settings that it depends on.
     pub keys: BTreeSet<String>,
 }
 
-/// A name that stands for no setting.
+/// A name that refers to no setting.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum UnknownSetting {
-    /// A part of the name is unknown, although it resembles one that is known.
+    /// A part of the name is unknown and resembles a known one.
     #[error("{name}: {part:?} is not known; did you mean {nearest}?")]
     Misspelled {
         /// The whole name.
         name: String,
         /// The unknown part.
         part: String,
-        /// The known part that resembles it most.
+        /// The known part that is most similar to it.
         nearest: String,
     },
-    /// A part of the name is unknown.
+    /// A part of the name is unknown and resembles no known one.
     #[error("{name}: {part:?} is not known; one of {}", known.join(", "))]
     Unknown {
         /// The whole name.
         name: String,
         /// The unknown part.
         part: String,
-        /// The parts that are known in this position.
+        /// The valid parts in this position.
         known: Vec<String>,
     },
 }
 
-/// Why a formula has no value.
+/// A formula that cannot be evaluated, or whose value has the wrong type.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum FormulaError {
-    /// A flag, a list, a map or null.
+    /// A boolean, list, map or null where a formula is expected.
     #[error("not a formula; write a number, a time or a formula")]
     NotFormula,
     /// A number where a duration is expected, or a negative duration.
@@ -94,39 +95,39 @@
         /// The formula.
         text: String,
     },
-    /// Digits that are no number.
+    /// Digits and dots that do not form a number, such as `1.2.3`.
     #[error("{text} is not a number")]
     InvalidNumber {
-        /// The digits.
+        /// The digits and dots.
         text: String,
     },
-    /// A duration in the formula is invalid.
+    /// A duration literal in the formula is invalid.
     #[error(transparent)]
     InvalidTime(#[from] ValueError),
     /// A name in the formula is unknown.
     #[error(transparent)]
     UnknownSetting(#[from] UnknownSetting),
-    /// A character that no formula contains.
+    /// A character that is not allowed in formulas.
     #[error("{character:?} is not allowed in a formula")]
     UnexpectedCharacter {
         /// The character.
         character: char,
     },
-    /// The arithmetic is invalid.
+    /// An expression that evalexpr rejects.
     #[error("cannot evaluate {expression:?}: {source}")]
     Arithmetic {
-        /// The expression, with the values in place of the names.
+        /// The expression, with names replaced by their values.
         expression: String,
-        /// The fault of the expression.
+        /// The error that evalexpr returned.
         source: EvalexprError,
     },
-    /// The result is infinite, or not a number.
+    /// A result that is infinite or NaN.
     #[error("{text:?} is not a finite number")]
     NotFinite {
         /// The formula.
         text: String,
     },
-    /// The formula adds durations to plain numbers.
+    /// A formula that mixes durations and plain numbers, such as `1 + 5ms`.
     #[error("{text:?} mixes times and plain numbers")]
     MixedUnits {
         /// The formula.
@@ -134,20 +135,21 @@
     },
 }
 
-/// For readers whose own errors are the text of a fault.
+/// Converts the error to its message, for callers that report faults as strings.
 impl From<FormulaError> for String {
     fn from(error: FormulaError) -> Self {
         error.to_string()
     }
 }
 
-/// Resolves a name of a formula to a setting.
+/// A function that resolves a name of a formula to a setting.
 pub type Resolve<'a> = dyn Fn(&str) -> Result<SettingValue, UnknownSetting> + 'a;
 
-/// Evaluates the formula of a node.
+/// Evaluates the formula of a node. A number node is a plain number.
 ///
 /// # Errors
-/// A name is unknown, the arithmetic is invalid, or a duration is added to a number.
+/// Returns an error if the node is not a number or text, a name is unknown, the expression is invalid, or the formula mixes
+/// durations and plain numbers.
 pub fn evaluate(node: &Node, resolve: &Resolve<'_>) -> Result<FormulaValue, FormulaError> {
     match &node.content {
         Content::Number(value) => Ok(FormulaValue {
@@ -160,10 +162,10 @@
     }
 }
 
-/// Evaluates a formula that must be a duration, in nanoseconds.
+/// Evaluates a formula that must be a duration, and returns it in nanoseconds. Zero needs no unit.
 ///
 /// # Errors
-/// As [`evaluate`], and where the value is not a duration.
+/// Returns the errors of [`evaluate`], and an error if the value is negative or not a duration.
 pub fn time(node: &Node, resolve: &Resolve<'_>) -> Result<Evaluated<u64>, FormulaError> {
     let formula = evaluate(node, resolve)?;
     let is_time = formula.is_time || formula.value == 0.0;
@@ -180,7 +182,7 @@
 /// Evaluates a formula that must be a plain number.
 ///
 /// # Errors
-/// As [`evaluate`], and where the value is a duration.
+/// Returns the errors of [`evaluate`], and an error if the value is a duration.
 pub fn number(node: &Node, resolve: &Resolve<'_>) -> Result<Evaluated<f64>, FormulaError> {
     let formula = evaluate(node, resolve)?;
     if formula.is_time {
@@ -218,7 +220,7 @@
     Err(FormulaError::MixedUnits { text })
 }
 
-/// Evaluates tokens with durations expressed in a unit of this many nanoseconds.
+/// Evaluates tokens with durations expressed in units of `unit_nanos` nanoseconds.
 fn evaluate_in(tokens: &[Token], unit_nanos: f64) -> Result<f64, FormulaError> {
     let expression: String = tokens
         .iter()
--- a/crates/config/src/formula/scan.rs
+++ b/crates/config/src/formula/scan.rs
@@ -1,4 +1,4 @@
-//! Splits a formula into tokens, with names replaced by their values.
+//! Tokenizer for formulas, which replaces names by their values.
 
 use super::{FormulaError, Resolve, SettingValue};
 use crate::quantity;
@@ -11,11 +11,11 @@
 pub(super) enum Token {
     /// A duration in nanoseconds.
     Time(f64),
-    /// A number, an operator or a function, as evalexpr reads it.
+    /// A number, an operator or a function, in evalexpr's syntax.
     Plain(String),
 }
 
-/// The tokens of a formula, and the keys of the settings that it names.
+/// The tokens of a formula, and the keys of the settings that it refers to.
 pub(super) struct Scanned {
     pub(super) tokens: Vec<Token>,
     pub(super) keys: BTreeSet<String>,
@@ -86,7 +86,7 @@
         self.characters[start..self.position].iter().collect()
     }
 
-    /// A number, or a number with a unit of time.
+    /// Scans a plain number, or a duration with a single unit.
     fn quantity(&mut self) -> Result<Token, FormulaError> {
         let number = self.take_while(|_, next| next.is_ascii_digit() || next == '.');
         let unit = self.take_while(|_, next| next.is_ascii_alphabetic());
@@ -106,7 +106,8 @@
         })
     }
 
-    /// Whether a hyphen or dot belongs to a name: only where a letter or digit follows, so that `a - b` subtracts.
+    /// Returns whether `next` is a hyphen or dot within a name. It must precede a letter or digit, so that `a - b` is a
+    /// subtraction.
     fn is_part_of_name(&self, next: char) -> bool {
         let following = self.characters.get(self.position + 1);
         matches!(next, '-' | '.') && following.is_some_and(char::is_ascii_alphanumeric)
--- a/crates/config/src/formula/tests.rs
+++ b/crates/config/src/formula/tests.rs
@@ -1,4 +1,4 @@
-//! Formulas are evaluated with names and units, and invalid ones are rejected.
+//! Tests of formula evaluation.
 
 use super::*;
 use crate::tree::Place;
--- a/crates/config/src/key_path.rs
+++ b/crates/config/src/key_path.rs
@@ -1,6 +1,6 @@
-//! Paths of keys: names and indices, separated by dots.
+//! Key paths: names and indices separated by dots.
 
-/// The path of a key below `parent`, which is empty for the top of a file.
+/// Returns the path of `key` below `parent`. The path of the top level is empty.
 pub(crate) fn join(parent: &str, key: &str) -> String {
     if parent.is_empty() {
         key.to_owned()
@@ -9,7 +9,7 @@
     }
 }
 
-/// The path above a key, which is empty for the top of a file, and the key's own name.
+/// Splits a path into its parent, which is empty for a key at the top level, and the key's own name.
 pub(crate) fn split_parent(path: &str) -> (&str, &str) {
     path.rsplit_once('.').unwrap_or(("", path))
 }
--- a/crates/config/src/lease.rs
+++ b/crates/config/src/lease.rs
@@ -1,6 +1,7 @@
-//! The section `lease` of the product file: acceptors and proposers of fleet-wide tasks, and how long a lease lasts.
+//! The section `lease` of the product file: the acceptors and proposers of leases for fleet-wide tasks, and how long a
+//! lease lasts.
 //!
-//! Without the section a limiter neither listens to other limiters nor sends to them.
+//! Without this section, a limiter neither listens for messages of other limiters nor sends any.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -19,55 +20,55 @@
 pub(crate) use section::read;
 pub use testing::{ClockFault, CrashPoint, ScheduledCrash, CRASH_POINTS};
 
-/// The section.
+/// The validated section `lease`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Lease {
-    /// This limiter's name among `limiters`.
+    /// This limiter's name, a key of `limiters`.
     pub limiter: String,
-    /// The file with the key that all limiters share.
+    /// The file that contains the key shared by all limiters.
     pub key_file: PathBuf,
-    /// How long an accepted proposal stays valid at an acceptor.
+    /// How long an accepted proposal stays valid at an acceptor, from 100 ms to 10 min.
     pub duration: Duration,
-    /// The greatest difference in rate between two clocks, in thousandths.
+    /// The greatest rate difference between two limiters' clocks, in thousandths, up to 200.
     pub drift_per_mille: u64,
-    /// The address of each limiter; a limiter's index is its place in this order.
+    /// The addresses of the limiters by name. A limiter's index is its position in this order.
     pub limiters: BTreeMap<String, SocketAddr>,
-    /// The limiters that are acceptors; an odd number.
+    /// The names of the limiters that are acceptors; an odd number without duplicates.
     pub acceptors: Vec<String>,
-    /// The tasks.
+    /// The fleet-wide tasks, with unique names.
     pub tasks: Vec<Task>,
-    /// By how much this process's clocks are wrong on purpose.
+    /// The clock error that a test injects into this process; zero by default.
     pub clock_fault: ClockFault,
-    /// Where this process aborts itself, in a test.
+    /// The point at which a test makes this process abort; `None` outside tests.
     pub scheduled_crash: Option<ScheduledCrash>,
 }
 
-/// A task that one limiter at a time carries out.
+/// A task that only the current lease holder carries out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Task {
-    /// Its name.
+    /// The name: 1 to 64 visible ASCII characters.
     pub name: String,
-    /// The operation of the lease holder.
+    /// The operation that the lease holder repeats.
     pub action: TaskAction,
-    /// The pause between two operations.
+    /// The pause between two operations; not zero.
     pub interval: Duration,
-    /// The longest duration of one operation.
+    /// The longest duration of one operation; not zero, and at most half of the lease duration.
     pub max_operation_duration: Duration,
 }
 
 /// The operation that the holder of a task's lease repeats.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TaskAction {
-    /// Sends a line to a target over TCP.
+    /// Sends one line to a target over TCP.
     Heartbeat {
-        /// The target's address.
+        /// The address to connect to.
         target: SocketAddr,
     },
-    /// Writes each customer's usage to a sink.
+    /// Exports each customer's usage to a sink.
     ExportUsage {
-        /// This limiter's own folder, for usage that is not in the sink yet.
+        /// The limiter's own folder, for usage that is not in the sink yet.
         spool: PathBuf,
-        /// The folder that all limiters share.
+        /// The export folder, which all limiters share.
         sink: PathBuf,
     },
 }
--- a/crates/config/src/lease/limiters.rs
+++ b/crates/config/src/lease/limiters.rs
@@ -1,4 +1,4 @@
-//! The addresses of the limiters.
+//! Parsing of the limiters' addresses.
 
 use super::LeaseConfigError;
 use crate::reader::text;
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// The most limiters that are read.
+/// Maximum number of limiters. Further entries are ignored.
 const MAX_LIMITERS: usize = 1024;
 
 pub(super) fn read_address(node: &Node) -> Result<SocketAddr, LeaseConfigError> {
--- a/crates/config/src/lease/section.rs
+++ b/crates/config/src/lease/section.rs
@@ -1,4 +1,4 @@
-//! Reading and checking of the whole section.
+//! Parsing and validation of the section `lease`.
 
 use super::limiters::read_limiters;
 use super::task::read_task;
@@ -15,8 +15,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The shortest lease: a shorter one ends before its renewal succeeds on a busy machine. The longest one leaves a
-/// task without a holder for as long after its holder has failed.
+/// Accepted lease durations. A lease shorter than 100 ms expires before its renewal succeeds on a busy machine. After a
+/// holder fails, its task has no holder for up to the lease duration, so the upper limit bounds that outage.
 const DURATION_RANGE: RangeInclusive<Duration> =
     Duration::from_millis(100)..=Duration::from_secs(600);
 const DEFAULT_DURATION: Duration = Duration::from_secs(3);
@@ -31,7 +31,7 @@
     Alias::new("die", "crash"),
 ];
 
-/// The values as they are read from the file.
+/// The values of the section before validation.
 struct Section {
     limiter: Option<String>,
     key_file: Option<String>,
@@ -44,7 +44,8 @@
     clock_fault: ClockFault,
 }
 
-/// Reads the section; `None` where a required value is missing or invalid. All problems are added to `faults`.
+/// Reads and validates the section, and adds all problems to `faults`. Returns `None` if a required value is missing or
+/// unreadable.
 pub(crate) fn read(file: &Arc<str>, node: &Node, faults: &mut Faults) -> Option<Lease> {
     let mut reader = Reader::new(file, "lease", node, faults).with_aliases(ALIASES);
     let section = Section::read(file, &mut reader, faults);
@@ -96,8 +97,8 @@
         }
     }
 
-    /// Whether a name is a limiter's. Where the limiters themselves are invalid, every name counts as known, so that only
-    /// their own fault is reported.
+    /// Returns whether `limiters` has the name. If `limiters` itself is invalid, every name counts as known, so that only
+    /// that fault is reported.
     fn knows_limiter(&self, name: &str) -> bool {
         self.limiters
             .as_ref()
@@ -119,7 +120,7 @@
     }
 }
 
-/// Checks that concern several values, or a value's range.
+/// Validation of ranges, and of values that depend on each other.
 struct Check<'a, 'b> {
     reader: &'a Reader<'b>,
     faults: &'a mut Faults,
--- a/crates/config/src/lease/task.rs
+++ b/crates/config/src/lease/task.rs
@@ -1,4 +1,4 @@
-//! The tasks of the section.
+//! Parsing of the tasks of the section `lease`.
 
 use super::limiters::read_address;
 use super::{LeaseConfigError, Task, TaskAction};
@@ -68,7 +68,7 @@
             None
         }
     };
-    // Where another fault was found before, it may be the reason why there is no action.
+    // An earlier fault may be the reason why there is no action, so nothing is added to it.
     if action.is_none() && faults.is_empty() {
         let problem = LeaseConfigError::MissingAction;
         reader.fault("name", problem.to_string(), faults);
--- a/crates/config/src/lease/testing.rs
+++ b/crates/config/src/lease/testing.rs
@@ -1,4 +1,4 @@
-//! Faults that a test injects into a process: wrong clocks, and a crash at a named point.
+//! Fault injection for tests: clock errors, and a crash at a named point.
 
 use crate::fault::Faults;
 use crate::lease::LeaseConfigError;
@@ -7,50 +7,50 @@
 use crate::tree::Node;
 use std::sync::Arc;
 
-/// The greatest error of the monotonic clock's rate.
+/// Greatest injected rate error of the monotonic clock, as a fraction.
 const MAX_RATE_ERROR: f64 = 0.2;
 
-/// The greatest number of times that a crash point may be passed before the crash.
+/// Greatest accepted value of `after`, the number of passes before the crash.
 const MAX_PASSES_BEFORE_CRASH: u64 = 1_000_000;
 
-/// Clocks that are wrong on purpose, as a machine's may be by themselves.
+/// Errors injected into a process's clocks, to simulate those of a faulty machine. The default is no error.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClockFault {
-    /// By how many thousandths the monotonic clock runs fast; negative values run slow.
+    /// The rate error of the monotonic clock, in thousandths. Positive values run fast, negative ones slow.
     pub rate_error_per_mille: i64,
-    /// How far the wall clock is ahead, in nanoseconds; negative values are behind.
+    /// The offset of the wall clock, in nanoseconds. Positive values are ahead, negative ones behind.
     pub wall_clock_offset_nanos: i64,
 }
 
-/// A crash at a point of the usage export.
+/// A crash at a given point of the usage export.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ScheduledCrash {
-    /// The point.
+    /// The point at which the process aborts.
     pub at: CrashPoint,
-    /// How many times the process passes the point before it aborts there.
+    /// The number of times that the process passes the point before it aborts there, up to 1,000,000.
     pub after: u64,
 }
 
-/// A point of the usage export at which a test may abort the process.
+/// A point of the usage export at which a test can abort the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CrashPoint {
-    /// An attempt is recorded and not sent yet.
+    /// An attempt has been recorded and not yet sent.
     AttemptRecorded,
-    /// An attempt has ended, which is not recorded yet.
+    /// An attempt has ended and its end has not been recorded.
     AttemptEnded,
-    /// A batch was cut.
+    /// A limiter has cut a batch.
     BatchCut,
-    /// The exporter has received a batch and not written it.
+    /// The exporter has received a batch and not yet written it.
     BatchReceived,
-    /// The exporter has written a batch and not acknowledged it.
+    /// The exporter has written a batch and not yet acknowledged it.
     BatchWritten,
-    /// A limiter has received an acknowledgement and not recorded it.
+    /// A limiter has received an acknowledgement and not yet recorded it.
     AcknowledgementReceived,
     /// A limiter has recorded an acknowledgement.
     AcknowledgementRecorded,
 }
 
-/// The crash points by their names in the configuration.
+/// The crash points by their keywords in the configuration.
 pub const CRASH_POINTS: [(&str, CrashPoint); 7] = [
     ("attempt-noted", CrashPoint::AttemptRecorded),
     ("attempt-ended", CrashPoint::AttemptEnded),
--- a/crates/config/src/lease/tests.rs
+++ b/crates/config/src/lease/tests.rs
@@ -53,7 +53,7 @@
     );
 }
 
-/// A text of [`VALID`], the text that replaces it, and a part of the resulting fault.
+/// A fragment of [`VALID`], its replacement, and a part of the resulting fault.
 const INVALID: [(&str, &str, &str); 21] = [
     (
         "[a, b, c]",
@@ -169,7 +169,7 @@
     }
 }
 
-/// A present key with its value as in [`VALID`] or added to it, and the former spelling.
+/// A line with a present key, from [`VALID`] or added to it, and the same line with the former key.
 const RENAMED: [(&str, &str); 5] = [
     ("  limiter: a\n", "  me: a\n"),
     ("  duration: 2s\n", "  length: 2s\n"),
@@ -196,7 +196,7 @@
                 .any(|prefix| changelog.contains(&format!("{prefix}{key}`")));
             assert!(is_listed, "CHANGELOG.md: {key}");
         }
-        // The scheduled crash is for tests only and has its line in docs/trials.md.
+        // The scheduled crash is for tests only and documented in docs/trials.md.
         let is_explained = page.contains(key(present)) || key(present) == "crash";
         assert!(is_explained, "docs/leases.md: {present}");
     }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,7 +1,7 @@
-//! Configuration with source locations: the trees that YAML and JSON are parsed into, the faults found in them, quantities
-//! with units, the platform's settings of a deployment, and the product's own file.
+//! Configuration files with source locations: YAML and JSON trees, faults, quantities with units, the platform's settings
+//! of a deployment, and the product's own file.
 //!
-//! Contains no sockets and no decisions. All faults of a file are reported at once.
+//! All faults of a file are reported at once. The crate does no network I/O and makes no admission decisions.
 
 pub mod deployment;
 pub mod fault;
--- a/crates/config/src/platform.rs
+++ b/crates/config/src/platform.rs
@@ -1,5 +1,5 @@
-//! The platform's settings: the table of their keys, and their conversion between nested JSON, `path=value` pairs and the
-//! type that the decision engine takes.
+//! The platform's settings: the table of their keys, and conversions between nested JSON, `path=value` pairs and
+//! [`Settings`](quartzcleat_decision::api::Settings), the type that the decision engine takes.
 
 mod decode;
 mod encode;
--- a/crates/config/src/platform/decode.rs
+++ b/crates/config/src/platform/decode.rs
@@ -1,4 +1,4 @@
-//! Settings from `path=value` pairs.
+//! Decoder of settings from `path=value` pairs.
 
 use super::keys::{DISCOVERY_MODES, EFFECTS, GROUPS, REPORT_SOURCES};
 use quartzcleat_decision::api::{
@@ -9,46 +9,46 @@
 use std::collections::BTreeMap;
 use std::str::FromStr;
 
-/// The most classes or plans that are read: a higher count is a fault rather than an allocation.
+/// Maximum number of classes or plans. A higher count is a fault, so that a corrupt one causes no large allocation.
 const MAX_LIST_LENGTH: u32 = 4096;
 
-/// A pair whose value is invalid.
+/// A pair with an invalid value.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{path}: {problem}")]
 pub struct PairFault {
-    /// The path of the pair.
+    /// The path of the pair's key.
     pub path: String,
-    /// The fault of the value.
+    /// Why the value is invalid.
     pub problem: PairProblem,
 }
 
-/// The fault of a pair's value.
+/// The reason why a pair's value is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PairProblem {
-    /// It cannot be parsed as the type of its key.
+    /// A value that cannot be parsed as the type of its key.
     #[error("cannot read {text:?}")]
     Unparsable {
         /// The value.
         text: String,
     },
-    /// It is an infinite number or not a number.
+    /// A number that is infinite or NaN.
     #[error("not a finite number")]
     NotFinite,
-    /// It is none of the keywords that its key accepts.
+    /// A keyword that its key does not accept.
     #[error("unknown word {text:?}")]
     UnknownKeyword {
         /// The value.
         text: String,
     },
-    /// A list has more members than are read.
+    /// A count of classes or plans above the maximum.
     #[error("more than {MAX_LIST_LENGTH}")]
     ListTooLong,
 }
 
-/// Reads settings from `path=value` pairs. An absent key gets the default of its type.
+/// Decodes settings from `path=value` pairs. An absent key gets the default of its type.
 ///
 /// # Errors
-/// Every pair whose value is invalid, in the order of reading.
+/// Returns every pair with an invalid value, in decoding order.
 pub fn decode(pairs: BTreeMap<&str, &str>) -> Result<Settings, Vec<PairFault>> {
     let mut reader = PairReader {
         pairs,
@@ -66,14 +66,14 @@
     }
 }
 
-/// Reads values by their keys and collects the faults.
+/// A reader that looks values up by their keys and collects the faults.
 struct PairReader<'a> {
     pairs: BTreeMap<&'a str, &'a str>,
     faults: Vec<PairFault>,
 }
 
 impl<'a> PairReader<'a> {
-    /// The value of a key; `-` and an empty value stand for an absent key.
+    /// Returns the value of a key. `-` and an empty value stand for an absent key.
     fn value(&self, key: &str) -> Option<&'a str> {
         self.pairs
             .get(key)
@@ -108,7 +108,7 @@
         0.0
     }
 
-    /// The text of a key as it is: `-` is a valid name.
+    /// Returns the name that a key holds, or an empty one if the key is absent. Unlike in [`Self::value`], `-` is valid.
     fn text(&self, key: &str) -> String {
         self.pairs
             .get(key)
@@ -169,7 +169,7 @@
     }
 
     fn settings(&mut self, classes: Vec<Class>, plans: Vec<Plan>) -> Settings {
-        // Faults are reported in the order in which the groups are written here.
+        // The order of the fields determines the order in which faults are reported.
         Settings {
             classes,
             plans,
--- a/crates/config/src/platform/encode.rs
+++ b/crates/config/src/platform/encode.rs
@@ -1,10 +1,10 @@
-//! Settings as the platform's nested JSON.
+//! Encoder of settings as the platform's nested JSON.
 
 use super::keys::{DISCOVERY_MODES, EFFECTS, GROUPS, REPORT_SOURCES};
 use quartzcleat_decision::api::{Class, Plan, Settings};
 use serde_json::{json, Value};
 
-/// Writes settings as the platform's nested JSON, the inverse of [`flatten`](super::flatten()) and
+/// Encodes settings as the platform's nested JSON, the inverse of [`flatten`](super::flatten()) followed by
 /// [`decode`](super::decode()).
 #[must_use]
 pub fn encode(settings: &Settings, zone_names: &[String]) -> Value {
@@ -25,7 +25,7 @@
     })
 }
 
-/// The keyword for a value; the tables hold every value.
+/// Returns the keyword for a value. It is never `None`, as each table has every value of its type.
 fn keyword_for<T: Copy + PartialEq>(
     keywords: &'static [(&'static str, T)],
     value: T,
--- a/crates/config/src/platform/flatten.rs
+++ b/crates/config/src/platform/flatten.rs
@@ -1,28 +1,29 @@
-//! Nested JSON as `path=value` pairs.
+//! Conversion of nested JSON to `path=value` pairs.
 
 use crate::key_path::join;
 use crate::tree::MAX_WHOLE_NUMBER;
 use serde_json::{Number, Value};
 use std::collections::BTreeMap;
 
-/// JSON that has no form as pairs.
+/// JSON that cannot be represented as pairs.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FlattenError {
     /// The settings are not an object.
     #[error("settings: not an object")]
     NotAnObject,
-    /// A list contains a list.
+    /// A list of scalars that contains a list.
     #[error("settings.{path}: lists within lists are not known here")]
     NestedList {
-        /// The key of the outer list.
+        /// The path of the outer list.
         path: String,
     },
 }
 
-/// Writes nested JSON as `path=value` pairs. A list of objects also gets a pair `path.count`.
+/// Converts nested JSON to `path=value` pairs. A list of objects also gets a pair `path.count`; the members of a list of
+/// scalars are joined by commas.
 ///
 /// # Errors
-/// The value is not an object, or contains a list within a list.
+/// Returns an error if the value is not an object or contains a list within a list.
 pub fn flatten(settings: &Value) -> Result<BTreeMap<String, String>, FlattenError> {
     let mut pairs = BTreeMap::new();
     flatten_into("", settings, &mut pairs)?;
@@ -70,7 +71,8 @@
     }
 }
 
-/// A number's text. An integer may be written as `3.0` or `5e9` in JSON; the decoder expects `3` and `5000000000`.
+/// Formats a number for the decoder, which expects integers such as `3` and `5000000000`. In JSON, they may be written as
+/// `3.0` or `5e9`.
 fn number_text(number: &Number) -> String {
     match number.as_f64() {
         Some(real) if number.is_f64() && real.fract() == 0.0 && real.abs() < MAX_WHOLE_NUMBER => {
--- a/crates/config/src/platform/keys.rs
+++ b/crates/config/src/platform/keys.rs
@@ -1,4 +1,4 @@
-//! The table of the platform's keys, and the keywords that some of them accept.
+//! The table of the platform's keys, and the keywords that their values accept.
 
 use quartzcleat_decision::api::{DedupScope, Effect, ReportSource};
 
@@ -7,24 +7,24 @@
 pub enum Kind {
     /// A duration in nanoseconds.
     Time,
-    /// A number; counts are numbers too.
+    /// A number, including counts.
     Number,
     /// `true` or `false`.
     Flag,
-    /// One of the listed keywords.
+    /// One of these keywords.
     Keyword(&'static [&'static str]),
-    /// A name.
+    /// Free text that names a class or plan.
     Name,
 }
 
-/// A key that is read.
+/// A key of the platform's settings that is read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SettingKey {
-    /// Its path, with `N` in place of the indices of lists.
+    /// The path of the key, with `N` in place of list indices.
     pub pattern: &'static str,
-    /// The type of its value.
+    /// The type of the value.
     pub kind: Kind,
-    /// The value that holds where the key is absent.
+    /// The value of an absent key, as text.
     pub default: &'static str,
 }
 
@@ -51,7 +51,7 @@
     ("answers", ReportSource::Answers),
     ("probe", ReportSource::HealthChecks),
 ];
-/// Whether discovery is polled, by the keyword for it.
+/// The keywords of the discovery modes, and whether the mode polls.
 pub(super) const DISCOVERY_MODES: [(&str, bool); 2] = [("push", false), ("ask", true)];
 
 const EFFECT_KEYWORDS: [&str; 3] = keywords_of(&EFFECTS);
@@ -71,7 +71,7 @@
     keywords
 }
 
-/// Every key that is read.
+/// All keys of the platform's settings that are read.
 pub const KEYS: &[SettingKey] = &[
     key("categories.N.name", Kind::Name, ""),
     key(
@@ -133,14 +133,14 @@
     key("charges.probe", Kind::Number, "0"),
 ];
 
-/// The key that a path with indices belongs to.
+/// Returns the key whose pattern matches a path with indices, or `None` if the key is not read.
 #[must_use]
 pub fn key_of(path: &str) -> Option<&'static SettingKey> {
     let pattern = pattern_of(path);
     KEYS.iter().find(|key| key.pattern == pattern)
 }
 
-/// A path with `N` in place of its indices.
+/// Returns the path with its indices replaced by `N`.
 fn pattern_of(path: &str) -> String {
     let parts: Vec<&str> = path
         .split('.')
--- a/crates/config/src/platform/tests.rs
+++ b/crates/config/src/platform/tests.rs
@@ -1,4 +1,4 @@
-//! The table of keys, the decoder and the encoder agree on every key.
+//! Tests that the key table, the decoder and the encoder agree on every key.
 
 use super::*;
 
@@ -16,7 +16,8 @@
     assert!(decode([("categories.count", "4000000000")].into_iter().collect()).is_err());
 }
 
-/// A key that holds its default reads as an absent one, and every key changes the settings.
+/// Checks for each key that its default equals an absent key, that another value changes the settings, and that the changed
+/// settings survive encoding and decoding.
 #[test]
 fn key_table_decoder_and_encoder_agree() {
     let counts = [("categories.count", "1"), ("contracts.count", "1")];
@@ -42,7 +43,7 @@
         };
         let other = read(other);
         assert_ne!(other, absent, "{path} is read");
-        // Encoded settings decode to the same settings.
+        // Encoding and decoding preserves the settings.
         let pairs = flatten(&encode(&other, &[])).expect("it has a flat form");
         let decoded = decode(
             pairs
--- a/crates/config/src/product.rs
+++ b/crates/config/src/product.rs
@@ -1,5 +1,5 @@
-//! The product's own file, `deploy/quartzcleat.yaml`: settings that the platform's configuration has no place for. Without
-//! the file the defaults hold, and nothing is enabled that the platform does not allow.
+//! The product's own file, `deploy/quartzcleat.yaml`, for settings that the platform's configuration cannot hold. Without
+//! the file the defaults apply, and nothing is enabled that the platform does not allow.
 
 #[cfg(test)]
 mod tests;
@@ -14,7 +14,8 @@
 use std::time::Duration;
 
 const DEFAULT_LOG_FILTER: &str = "info";
-/// A fault that repeats ten times a second must not fill the log that the platform keeps of standard error.
+/// The default limit on repeated lines. Without one, a fault that recurs ten times a second fills the log that the platform
+/// keeps of standard error.
 const DEFAULT_LOG_WINDOW: Duration = Duration::from_secs(10);
 const DEFAULT_LOG_BURST: u32 = 5;
 const MAX_LOG_BURST: u64 = 1_000_000;
@@ -36,24 +37,24 @@
 /// The format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LogFormat {
-    /// Text for people.
+    /// Human-readable text.
     #[default]
     Human,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// The filter and the format of the log, and the limit on its lines.
+/// The filter, the format and the rate limit of the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogConfig {
-    /// The filter, in tracing's directives.
+    /// The filter: comma-separated directives of tracing, each a level or `target=level`.
     pub filter: String,
-    /// The format of the lines.
+    /// The format of the log lines.
     pub format: LogFormat,
-    /// Within this time at most `burst` lines are written from one place in the code. The rest are counted, and their number
-    /// is logged at the end of the time.
+    /// The window of the rate limit. At most `burst` lines per call site are written within it; the others are counted, and
+    /// their number is logged at the end of the window. Not zero.
     pub window: Duration,
-    /// The most lines from one place within `window`.
+    /// The maximum number of lines per call site within `window`, from 1 to 1,000,000.
     pub burst: u32,
 }
 
@@ -68,22 +69,22 @@
     }
 }
 
-/// The settings of the file.
+/// The settings of the product's own file.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Product {
-    /// Logging.
+    /// The log settings; the defaults if absent.
     pub log: LogConfig,
-    /// How often the metrics are logged; never if absent.
+    /// The interval at which metrics are logged. `None` disables them.
     pub metrics_interval: Option<Duration>,
-    /// Leases for fleet-wide tasks; none if absent.
+    /// The leases for fleet-wide tasks. `None` disables them.
     pub lease: Option<Lease>,
 }
 
 impl Product {
-    /// Reads the file's text.
+    /// Parses and validates the text of the file.
     ///
     /// # Errors
-    /// All faults of the file.
+    /// Returns all faults of the file.
     pub fn read(file: &str, text: &str) -> Result<Product, Faults> {
         let file: Arc<str> = file.into();
         let tree = tree::parse(&file, text)?;
@@ -131,7 +132,7 @@
     }
 }
 
-/// Reads a filter. Each of its directives is a level, or a target and a level.
+/// Reads a log filter. Each directive must be a level, or a target and a level.
 fn read_filter(node: &Node) -> Result<String, ValueError> {
     let filter = text(node)?;
     for directive in filter.split(',') {
--- a/crates/config/src/product/tests.rs
+++ b/crates/config/src/product/tests.rs
@@ -1,4 +1,4 @@
-//! The product's own file: defaults, and faults with their lines.
+//! Tests of reading the product's own file: defaults, and faults with their lines.
 
 use super::*;
 
--- a/crates/config/src/quantity.rs
+++ b/crates/config/src/quantity.rs
@@ -1,4 +1,4 @@
-//! Quantities with units: durations, shares and counts as people write them.
+//! Parsing and formatting of human-readable quantities: durations, numbers, counts and fractions.
 
 use crate::tree::{Content, Node};
 use crate::value::ValueError;
@@ -7,13 +7,13 @@
 #[cfg(test)]
 mod tests;
 
-/// The longest duration, in nanoseconds: above it the product of number and unit does not fit the types of time.
+/// Upper bound of durations in nanoseconds, about 285 years. Longer ones do not fit the integer types of time.
 const MAX_TIME_NANOS: f64 = 9e18;
 
-/// Reads a duration such as `250ms`, `2s` or `1m 30s`, in nanoseconds. A bare number has no unit and is rejected, save 0.
+/// Reads a duration such as `250ms`, `2s` or `1m 30s`, and returns it in nanoseconds. Numbers other than 0 need a unit.
 ///
 /// # Errors
-/// The node is not a duration.
+/// Returns an error if the node is not a duration.
 pub fn time(node: &Node) -> Result<u64, ValueError> {
     match &node.content {
         Content::Text(text) => parse_time(text),
@@ -23,13 +23,13 @@
     }
 }
 
-/// Parses a duration, in nanoseconds.
+/// Parses a duration such as `250ms` or `1m 30s`, and returns it in nanoseconds.
 ///
 /// # Errors
-/// The text is not a duration, or its value is out of range.
+/// Returns an error if the text is not a duration, or the duration is out of range.
 pub fn parse_time(text: &str) -> Result<u64, ValueError> {
     let text = text.trim();
-    // humantime accepts no fractions such as 0.5s, so a number with a single unit is parsed here.
+    // humantime does not accept fractions such as 0.5s, so a number with a single unit is parsed here.
     match single_unit_nanos(text) {
         Some(nanos) if (0.0..MAX_TIME_NANOS).contains(&nanos) => Ok(nanos.round() as u64),
         Some(_) => Err(ValueError::TimeOutOfRange {
@@ -64,7 +64,7 @@
     }
 }
 
-/// Formats a duration with the largest unit up to seconds and at most three decimals.
+/// Formats a duration in the largest unit from ns to s in which it is at least 1, with at most three decimal places.
 #[must_use]
 pub fn show_time(nanos: u64) -> String {
     let (value, unit) = match nanos {
@@ -78,10 +78,10 @@
     format!("{}{unit}", text.trim_end_matches('0').trim_end_matches('.'))
 }
 
-/// Reads a finite number that is not negative.
+/// Reads a finite, non-negative number.
 ///
 /// # Errors
-/// The node is not such a number.
+/// Returns an error if the node is not such a number.
 pub fn number(node: &Node) -> Result<f64, ValueError> {
     match &node.content {
         Content::Number(number) if number.is_finite() && *number >= 0.0 => Ok(*number),
@@ -92,10 +92,10 @@
     }
 }
 
-/// Reads a whole number within a range.
+/// Reads an integer within `range`.
 ///
 /// # Errors
-/// The node is not such a number.
+/// Returns an error if the node is not such a number.
 pub fn count(node: &Node, range: RangeInclusive<u64>) -> Result<u64, ValueError> {
     let min = *range.start();
     let max = *range.end();
@@ -110,7 +110,7 @@
 /// Reads a fraction from 0 to 1, written as `10%` or `0.1`.
 ///
 /// # Errors
-/// The node is not such a fraction.
+/// Returns an error if the node is not such a fraction.
 pub fn share(node: &Node) -> Result<f64, ValueError> {
     let value = match &node.content {
         Content::Text(text) => parse_percentage(text),
--- a/crates/config/src/quantity/tests.rs
+++ b/crates/config/src/quantity/tests.rs
@@ -1,4 +1,4 @@
-//! Durations need a unit, shares lie between 0 and 1.
+//! Tests of parsing and formatting quantities.
 
 use super::*;
 use crate::tree::Place;
--- a/crates/config/src/reader.rs
+++ b/crates/config/src/reader.rs
@@ -1,5 +1,5 @@
-//! Reads the keys of a map. Keys that were not asked for are unknown, and all faults are collected, not only the first.
-//! A key that was renamed is still accepted by its former name.
+//! A reader for the keys of a map. Keys that no caller reads are reported as unknown, and faults are collected rather than
+//! returned at the first one. A renamed key is still accepted by its former name.
 
 #[cfg(test)]
 mod tests;
@@ -13,24 +13,24 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A former name that is accepted in place of the present one.
+/// A former name of a key or keyword, which is still accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Alias {
-    /// The former name.
+    /// The former name, accepted in files.
     pub former: &'static str,
-    /// The present name.
+    /// The present name, used in code and messages.
     pub present: &'static str,
 }
 
 impl Alias {
-    /// An alias of `present`.
+    /// Creates an alias for `present`.
     #[must_use]
     pub const fn new(former: &'static str, present: &'static str) -> Self {
         Alias { former, present }
     }
 }
 
-/// The present name for a name that may be a former one.
+/// Returns the present name for a former one; any other name is returned unchanged.
 #[must_use]
 pub fn present_name<'a>(name: &'a str, aliases: &[Alias]) -> &'a str {
     aliases
@@ -39,7 +39,7 @@
         .map_or(name, |alias| alias.present)
 }
 
-/// Reads one map. Each method adds its fault to the caller's list and continues without the value.
+/// A reader for the entries of one map. Its methods add faults to the caller's list and return `None` for invalid values.
 pub struct Reader<'a> {
     file: &'a Arc<str>,
     path: String,
@@ -50,7 +50,8 @@
 }
 
 impl<'a> Reader<'a> {
-    /// Creates a reader for a node that must be a map; null counts as an empty map.
+    /// Creates a reader for the map `node`, whose path in the file is `path`. Null counts as an empty map, and any other
+    /// value as an empty map with a fault.
     pub fn new(file: &'a Arc<str>, path: &str, node: &'a Node, faults: &mut Faults) -> Self {
         let entries: &[_] = match &node.content {
             Content::Map(entries) => entries,
@@ -70,45 +71,45 @@
         }
     }
 
-    /// Accepts the former names of keys, too.
+    /// Accepts the former names of keys as well.
     #[must_use]
     pub fn with_aliases(mut self, aliases: &'static [Alias]) -> Self {
         self.aliases = aliases;
         self
     }
 
-    /// The place where the map begins.
+    /// Returns the location where the map begins.
     #[must_use]
     pub fn place(&self) -> Place {
         self.place
     }
 
-    /// The path of a key of this map, as the file spells it.
+    /// Returns the path of a key of this map. A key that the file gives by its former name has that name in the path.
     #[must_use]
     pub fn path(&self, key: &str) -> String {
         let spelling = self.entry(key).map_or(key, |entry| &entry.key);
         join(&self.path, spelling)
     }
 
-    /// The file's name.
+    /// Returns the name of the file.
     #[must_use]
     pub fn file(&self) -> &'a Arc<str> {
         self.file
     }
 
-    /// Adds a fault at a key, or at the beginning of the map where the key is missing.
+    /// Adds a fault at a key, or at the beginning of the map if the key is missing.
     pub fn fault(&self, key: &str, problem: impl Display, faults: &mut Faults) {
         let place = self.entry(key).map_or(self.place, |entry| entry.place);
         faults.add(self.file, place, self.path(key), problem);
     }
 
-    /// The value of a key, which counts as known from now on.
+    /// Returns the value of a key, and marks the key as known for [`Self::end`].
     pub fn node(&mut self, key: &'static str) -> Option<&'a Node> {
         self.known.push(key);
         self.entry(key).map(|entry| &entry.value)
     }
 
-    /// Whether the map has a key.
+    /// Returns whether the map has a key, under its present or former name.
     #[must_use]
     pub fn has(&self, key: &str) -> bool {
         self.entry(key).is_some()
@@ -120,7 +121,7 @@
             .find(|entry| present_name(&entry.key, self.aliases) == key)
     }
 
-    /// Reads an optional key with `read`, whose error becomes a fault.
+    /// Reads an optional key with `read`. An error of `read` becomes a fault at the value.
     pub fn take<T, E: Display>(
         &mut self,
         key: &'static str,
@@ -137,7 +138,7 @@
         }
     }
 
-    /// Reads a required key with `read`, whose error becomes a fault.
+    /// Reads a required key with `read`. A missing key is a fault, and so is an error of `read`.
     pub fn need<T, E: Display>(
         &mut self,
         key: &'static str,
@@ -151,13 +152,13 @@
         self.take(key, faults, read)
     }
 
-    /// Reads an optional key that holds a duration.
+    /// Reads an optional duration.
     pub fn duration(&mut self, key: &'static str, faults: &mut Faults) -> Option<Duration> {
         self.take(key, faults, quantity::time)
             .map(Duration::from_nanos)
     }
 
-    /// Reads an optional key that holds one of the keywords of a table.
+    /// Reads an optional keyword, and returns its value in the table `keywords`.
     pub fn keyword<T: Copy>(
         &mut self,
         key: &'static str,
@@ -167,8 +168,8 @@
         self.take(key, faults, |node| one_of(&text(node)?, keywords))
     }
 
-    /// Ends the reading: each key that was not asked for is a fault, and so is a key that is there by its former and by its
-    /// present name.
+    /// Finishes reading. Adds a fault for each key that was not read, and for each key that is given under both its former
+    /// and its present name.
     pub fn end(self, faults: &mut Faults) {
         for Entry { key, place, .. } in self.entries {
             let present = present_name(key, self.aliases);
@@ -186,7 +187,7 @@
         }
     }
 
-    /// The problem with an unknown key. A key that resembles a former name is meant to be the present one.
+    /// Returns the message for an unknown key. For a key that resembles a former name, it suggests the present name.
     fn unknown_key(&self, key: &str) -> String {
         let former = self.aliases.iter().map(|alias| alias.former);
         match nearest(key, self.known.iter().copied().chain(former)) {
@@ -199,10 +200,10 @@
     }
 }
 
-/// Looks a keyword up in a table.
+/// Returns the value of a keyword in a table.
 ///
 /// # Errors
-/// The table does not have the keyword.
+/// Returns an error if the table does not have the keyword.
 pub fn one_of<T: Copy>(keyword: &str, keywords: &[(&str, T)]) -> Result<T, ValueError> {
     if let Some((_, value)) = keywords.iter().find(|(known, _)| *known == keyword) {
         Ok(*value)
@@ -212,10 +213,10 @@
     }
 }
 
-/// Looks a keyword up in a table, by its present or its former name.
+/// Returns the value of a keyword, given by its present or former name, in a table.
 ///
 /// # Errors
-/// The table does not have the keyword.
+/// Returns an error if the table does not have the keyword.
 pub fn one_of_renamed<T: Copy>(
     keyword: &str,
     keywords: &[(&str, T)],
@@ -227,15 +228,15 @@
 /// Reads a scalar as text.
 ///
 /// # Errors
-/// The node is a list or a map.
+/// Returns an error if the node is a list or a map.
 pub fn text(node: &Node) -> Result<String, ValueError> {
     node.text().ok_or(ValueError::NotText)
 }
 
-/// Reads `true` or `false`.
+/// Reads a boolean.
 ///
 /// # Errors
-/// The node is neither.
+/// Returns an error if the node is neither `true` nor `false`.
 pub fn flag(node: &Node) -> Result<bool, ValueError> {
     match node.content {
         Content::Flag(flag) => Ok(flag),
@@ -243,7 +244,7 @@
     }
 }
 
-/// The members of a list; a scalar counts as a list of one, null as an empty list.
+/// Returns the members of a list. Null counts as an empty list, and any other value as a list of one.
 #[must_use]
 pub fn list(node: &Node) -> &[Node] {
     match &node.content {
--- a/crates/config/src/reader/tests.rs
+++ b/crates/config/src/reader/tests.rs
@@ -1,4 +1,4 @@
-//! Former names of keys and keywords.
+//! Tests of former names of keys and keywords.
 
 use super::{one_of_renamed, Alias, Reader};
 use crate::fault::Faults;
@@ -8,7 +8,7 @@
 
 const ALIASES: &[Alias] = &[Alias::new("voters", "acceptors")];
 
-/// Reads a file whose one key is `acceptors`.
+/// Reads a file whose only key is `acceptors`.
 fn read_acceptors(text: &str) -> Result<u64, Faults> {
     let file: Arc<str> = "f.yaml".into();
     let tree = tree::parse(&file, text)?;
--- a/crates/config/src/replacement.rs
+++ b/crates/config/src/replacement.rs
@@ -1,6 +1,6 @@
-//! Checks whether a configuration may replace the one in force.
+//! Validation of a configuration that is to replace the current one.
 //!
-//! Every key of the current configuration must be in the new one. Otherwise a file that was truncated, half written, or lost
+//! Every key of the current configuration must be in the new one. Otherwise a file that is truncated, half written or lacks
 //! a key would be accepted with defaults that no operator chose.
 
 use crate::key_path::join;
@@ -9,17 +9,17 @@
 #[cfg(test)]
 mod tests;
 
-/// Keys that a new file may lack: they matter only at the start of a process, or the platform declares them optional.
+/// Keys that a new file may lack: they are used only when a process starts, or the platform declares them optional.
 const OPTIONAL_KEYS: &[&str] = &["known", "seed", "settings.categories.N.aimStretch"];
-/// Keys whose value must be a number above zero.
+/// Keys whose values must be numbers above zero.
 const POSITIVE_KEYS: &[&str] = &[
     "settings.categories.N.hardLimitNs",
     "settings.limits.sendCap",
 ];
-/// Lists whose members have unique names.
+/// Lists whose members must have unique, non-empty names.
 const NAMED_LISTS: &[&str] = &["settings.categories", "settings.contracts"];
 
-/// One reason why a configuration cannot replace the current one. `path` is the key with those above it.
+/// A reason why a configuration cannot replace the current one. `path` is the full path of the key.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum ReplacementFault {
     /// A key of the current configuration is missing.
@@ -28,7 +28,7 @@
         /// The key.
         path: String,
     },
-    /// A value has another type than before.
+    /// A value whose type differs from that in the current configuration.
     #[error("{path}: {new} where {current} was")]
     TypeChanged {
         /// The key.
@@ -38,7 +38,7 @@
         /// The type in the current configuration.
         current: ValueType,
     },
-    /// A value that must be positive is not.
+    /// A value that must be a number above zero and is not.
     #[error("{path}: {value} is not a number above zero")]
     NotPositive {
         /// The key.
@@ -46,21 +46,21 @@
         /// The value in the new configuration.
         value: Value,
     },
-    /// A list that has members is empty in the new configuration.
+    /// An empty list of objects that the current configuration fills, or an empty name of a list member.
     #[error("{path}: empty")]
     Empty {
         /// The key.
         path: String,
     },
-    /// Two members of a list have the same name.
+    /// A name that two members of a list have.
     #[error("{path}: given twice")]
     DuplicateName {
-        /// The key of the second name.
+        /// The path of the second occurrence.
         path: String,
     },
 }
 
-/// The type of a JSON value, for messages.
+/// The type of a JSON value, displayed in messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ValueType {
     /// `null`.
@@ -103,7 +103,7 @@
     }
 }
 
-/// Finds every reason why `new` cannot replace `current`.
+/// Returns every reason why `new` cannot replace `current`; empty if it can.
 #[must_use]
 pub fn check_replacement(current: &Value, new: &Value) -> Vec<ReplacementFault> {
     let mut faults = Vec::new();
@@ -111,7 +111,7 @@
     faults
 }
 
-/// Where a value stands: its path, and the same path with `N` in place of the indices of lists.
+/// The path of a value, and its pattern: the same path with `N` in place of list indices.
 #[derive(Default)]
 struct KeyPath {
     path: String,
@@ -182,7 +182,8 @@
     }
 }
 
-/// Compares lists of objects. Members may come and go; a member needs the keys that all current members have.
+/// Compares lists of objects. Members may be added and removed; each new member needs the keys that all current members
+/// have.
 fn compare_lists(
     at: &KeyPath,
     current: &[Value],
@@ -203,7 +204,7 @@
     }
 }
 
-/// The first object of a list, reduced to the keys that every object of the list has.
+/// Returns the first object of a list, reduced to the keys that every object of the list has.
 fn common_keys(list: &[Value]) -> Map<String, Value> {
     let mut objects = list.iter().filter_map(Value::as_object);
     let mut common = objects.next().cloned().unwrap_or_default();
--- a/crates/config/src/replacement/tests.rs
+++ b/crates/config/src/replacement/tests.rs
@@ -1,4 +1,4 @@
-//! A replacement that lost or damaged a key is rejected, and the fault names the key.
+//! Tests that a replacement with a missing or invalid key is rejected, and that the fault names the key.
 
 use super::*;
 use serde_json::json;
@@ -17,7 +17,7 @@
     })
 }
 
-/// A change of the configuration, and how its first fault begins.
+/// A change to the valid configuration, and the beginning of its first fault.
 struct InvalidChange {
     pointer: &'static str,
     value: Value,
--- a/crates/config/src/tree.rs
+++ b/crates/config/src/tree.rs
@@ -1,4 +1,4 @@
-//! Values of YAML and JSON files as a tree whose nodes know their places. JSON is parsed as YAML, of which it is a subset.
+//! Trees of YAML and JSON values with source locations. JSON is parsed as YAML, of which it is a subset.
 
 mod edit;
 mod parse;
@@ -10,72 +10,72 @@
 use crate::key_path::join;
 use serde_json::Value;
 
-/// Below this, a floating-point number that is whole is written as an integer without loss.
+/// Bound, a little less than 2^53, below which a floating-point number without a fraction is an exact integer.
 pub(crate) const MAX_WHOLE_NUMBER: f64 = 9e15;
 
-/// A place in a file. Lines and columns count from one.
+/// A location in a file.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Place {
-    /// The line.
+    /// The line, counted from 1.
     pub line: u32,
-    /// The column.
+    /// The column, counted from 1.
     pub column: u32,
 }
 
 /// The value of a node.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Content {
-    /// No value.
+    /// `null`, or a key without a value.
     Null,
-    /// `true` or `false`.
+    /// A boolean.
     Flag(bool),
-    /// A number.
+    /// An integer or floating-point number.
     Number(f64),
-    /// A text.
+    /// A string.
     Text(String),
-    /// Members in the order of the file.
+    /// The members of a sequence, in file order.
     List(Vec<Node>),
-    /// Entries in the order of the file.
+    /// The entries of a mapping, in file order.
     Map(Vec<Entry>),
 }
 
 /// A key of a map and its value.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
-    /// The key.
+    /// The key; scalars of other types are converted to text.
     pub key: String,
-    /// The place of the key.
+    /// The location of the key.
     pub place: Place,
-    /// The value.
+    /// The value of the key.
     pub value: Node,
 }
 
-/// A value and its place.
+/// A value with its source location.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Node {
-    /// Where the value begins.
+    /// The location where the value begins.
     pub place: Place,
-    /// The value.
+    /// The value itself.
     pub content: Content,
 }
 
-/// A scalar, an empty list or an empty map, with its path below the node that was asked.
+/// A scalar, an empty list or an empty map within a tree.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Leaf<'a> {
-    /// The path.
+    /// The path relative to the node on which [`Node::leaves`] was called.
     pub path: String,
-    /// The node.
+    /// The node of the leaf.
     pub node: &'a Node,
 }
 
 impl Node {
-    /// A scalar as text; `None` for lists and maps.
+    /// Returns a scalar as text, with null as the empty string, or `None` for lists and maps.
     #[must_use]
     pub fn text(&self) -> Option<String> {
         self.content.text()
     }
 
-    /// The value of a key of a map, or the member of a list at an index.
+    /// Returns the value of a key of a map, or the member of a list at an index.
     #[must_use]
     pub fn get(&self, key: &str) -> Option<&Node> {
         match &self.content {
@@ -88,7 +88,7 @@
         }
     }
 
-    /// The node at a path of keys and indices, separated by dots.
+    /// Returns the node at a path of keys and indices separated by dots. The empty path is this node.
     #[must_use]
     pub fn at(&self, path: &str) -> Option<&Node> {
         path.split('.')
@@ -96,7 +96,7 @@
             .try_fold(self, |node, part| node.get(part))
     }
 
-    /// All scalars, empty lists and empty maps below this node, in the order of the file.
+    /// Returns all scalars, empty lists and empty maps of this subtree, in file order.
     #[must_use]
     pub fn leaves(&self) -> Vec<Leaf<'_>> {
         let mut leaves = Vec::new();
@@ -123,13 +123,13 @@
         }
     }
 
-    /// The value as JSON, without places.
+    /// Converts the value to JSON. Locations are dropped, and numbers that are not finite become null.
     #[must_use]
     pub fn to_json(&self) -> Value {
         match &self.content {
             Content::Null => Value::Null,
             Content::Flag(flag) => Value::Bool(*flag),
-            // Whole numbers are written as integers, because strict readers of the platform's file expect them.
+            // Numbers without a fraction become integers, because strict parsers of the platform's file require them.
             Content::Number(number) if number.fract() == 0.0 && number.abs() < MAX_WHOLE_NUMBER => {
                 Value::from(*number as i64)
             }
--- a/crates/config/src/tree/edit.rs
+++ b/crates/config/src/tree/edit.rs
@@ -1,11 +1,11 @@
-//! Changes of a tree by path.
+//! Modification of trees by path.
 
 use super::{Content, Entry, Node};
 use crate::key_path::split_parent;
 
 impl Node {
-    /// Replaces the value at a path, or adds a key to the map above it. Returns whether the tree was changed: it stays as
-    /// it is where the path leads through a value that has no such member.
+    /// Replaces the value at a path, or adds its last key to the parent map. Returns whether the path was set. If its
+    /// parent does not exist or cannot have such a member, the tree is unchanged.
     pub fn set(&mut self, path: &str, content: Content) -> bool {
         let (parent, key) = split_parent(path);
         let Some(child) = self.at_mut(parent).and_then(|parent| parent.child_mut(key)) else {
@@ -15,7 +15,7 @@
         true
     }
 
-    /// The member of a map or a list. A key that a map does not have is added without a value.
+    /// Returns the member of a map or list. A key that a map does not have is added with a null value.
     fn child_mut(&mut self, key: &str) -> Option<&mut Node> {
         let place = self.place;
         match &mut self.content {
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Removes a key from the map above it, and returns its value.
+    /// Removes a key from its parent map and returns its value, or `None` if there is no such key.
     pub fn remove(&mut self, path: &str) -> Option<Node> {
         let (parent, key) = split_parent(path);
         match &mut self.at_mut(parent)?.content {
--- a/crates/config/src/tree/parse.rs
+++ b/crates/config/src/tree/parse.rs
@@ -1,14 +1,14 @@
-//! Parsing of YAML and JSON.
+//! Parser of YAML and JSON files.
 
 use super::{Content, Entry, Node, Place};
 use crate::fault::{Fault, Faults};
 use saphyr::{LoadableYamlNode, MarkedYaml, Marker, Scalar, YamlData};
 use std::sync::Arc;
 
-/// The deepest nesting that is read. No file of ours comes near it; without a bound a file could exhaust the stack.
+/// Maximum nesting depth. Without a bound a file could exhaust the stack; real configurations are far below it.
 const MAX_DEPTH: usize = 32;
 
-/// Why a file cannot be parsed.
+/// The reason why a file cannot be parsed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 enum ParseProblem {
     #[error("not YAML: {0}")]
@@ -25,7 +25,7 @@
     BadValue,
 }
 
-/// A problem and the place where it was found.
+/// A problem and its location.
 struct ParseError {
     place: Place,
     problem: ParseProblem,
@@ -40,10 +40,11 @@
     }
 }
 
-/// Parses the single document of a file. An empty file is null.
+/// Parses a file that contains a single document. An empty file is null.
 ///
 /// # Errors
-/// The text is not YAML, contains a second document or an alias, or nests too deeply.
+/// Returns a fault if the text is not YAML, contains a second document, an alias or a key that is not a scalar, or is
+/// nested too deeply.
 pub fn parse(file: &Arc<str>, text: &str) -> Result<Node, Faults> {
     parse_document(text).map_err(|error| {
         Faults(vec![Fault {
--- a/crates/config/src/tree/tests.rs
+++ b/crates/config/src/tree/tests.rs
@@ -1,4 +1,4 @@
-//! Trees keep the lines of their nodes, and can be edited by path.
+//! Tests of parsing and editing trees.
 
 use super::*;
 
--- a/crates/config/src/value.rs
+++ b/crates/config/src/value.rs
@@ -1,46 +1,46 @@
-//! Why a value of a file is invalid.
+//! Errors of single configuration values.
 
-/// A value is invalid. The text names the remedy; the reader adds file, line and key.
+/// The reason why a value is invalid. The message names the remedy; the reader adds file, line and key.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum ValueError {
-    /// A list or a map where a text is expected.
+    /// A list or a map where text is expected.
     #[error("not a text")]
     NotText,
     /// Something other than `true` or `false`.
     #[error("neither true nor false")]
     NotFlag,
-    /// A keyword that is not accepted, although it resembles one that is.
+    /// An unknown keyword that resembles an accepted one.
     #[error("{keyword:?} is not known; did you mean {nearest}?")]
     MisspelledKeyword {
         /// The keyword.
         keyword: String,
-        /// The accepted keyword that resembles it most.
+        /// The accepted keyword that is most similar to it.
         nearest: String,
     },
-    /// A keyword that resembles none of those accepted.
+    /// An unknown keyword that resembles no accepted one.
     #[error("{keyword:?} is not known; one of {}", accepted.join(", "))]
     UnknownKeyword {
         /// The keyword.
         keyword: String,
-        /// All accepted keywords.
+        /// All accepted keywords, in the order of the table.
         accepted: Vec<String>,
     },
-    /// A number where a duration is expected.
+    /// A number without a unit where a duration is expected.
     #[error("{number} has no unit; write a time such as 250ms or 2s")]
     MissingUnit {
         /// The number.
         number: f64,
     },
-    /// Something other than a text where a duration is expected.
+    /// A boolean, list, map or null where a duration is expected.
     #[error("not a time; write one such as 250ms or 2s")]
     NotTime,
-    /// A text that is no duration.
+    /// Text that is not a duration.
     #[error("{text:?} is not a time; write one such as 250ms or 2s")]
     InvalidTime {
         /// The text.
         text: String,
     },
-    /// A duration that is negative or cannot be represented.
+    /// A duration that is negative, or too long to be represented.
     #[error("{text:?} is not between 0 and 292 years")]
     TimeOutOfRange {
         /// The text.
@@ -52,32 +52,32 @@
         /// The number.
         number: f64,
     },
-    /// Something other than a number.
+    /// A value that is not a number.
     #[error("{text} is not a number")]
     NotNumber {
-        /// The value as text, or its kind.
+        /// The value as text, or `a list or map`.
         text: String,
     },
-    /// A number that is not whole or not in the accepted range.
+    /// A number that is not an integer or not in the accepted range.
     #[error("{number} is not a whole number from {min} to {max}")]
     CountOutOfRange {
         /// The number.
         number: f64,
-        /// The lowest accepted number.
+        /// The smallest accepted number.
         min: u64,
-        /// The highest accepted number.
+        /// The largest accepted number.
         max: u64,
     },
-    /// Something that is not a fraction from 0 to 1.
+    /// A value that is not a fraction from 0 to 1.
     #[error("{text:?} is not a share; write one such as 10% or 0.1")]
     InvalidShare {
-        /// The value as text.
+        /// The value as text; empty for lists and maps.
         text: String,
     },
 }
 
 impl ValueError {
-    /// The error for a keyword that is not one of those accepted.
+    /// Creates the error for an unknown keyword: the misspelling of a similar accepted one if there is any.
     #[must_use]
     pub fn unknown_keyword(keyword: &str, accepted: &[&str]) -> Self {
         let keyword = keyword.to_owned();
@@ -94,7 +94,7 @@
     }
 }
 
-/// For readers whose own errors are the text of a fault.
+/// Converts the error to its message, for callers that report faults as strings.
 impl From<ValueError> for String {
     fn from(error: ValueError) -> Self {
         error.to_string()
