--- a/crates/config/src/deployment.rs
+++ b/crates/config/src/deployment.rs
@@ -79,7 +79,7 @@
             faults.add(&file, tree.place, "", "not a map of settings");
             return Err(faults);
         }
-        let normalized = with_times_in_nanos(&file, &tree, &mut faults);
+        let normalized = with_durations_in_nanos(&file, &tree, &mut faults);
         let settings = decode(&file, &tree, &normalized, &mut faults)?;
         let zone_names = zone_names(&tree);
         let deployment = Deployment {
@@ -142,7 +142,7 @@
 
 /// Returns a copy of the tree with all durations as numbers of nanoseconds. Adds a fault for each invalid duration and each
 /// probable misspelling of a key.
-fn with_times_in_nanos(file: &Arc<str>, tree: &Node, faults: &mut Faults) -> Node {
+fn with_durations_in_nanos(file: &Arc<str>, tree: &Node, faults: &mut Faults) -> Node {
     let mut normalized = tree.clone();
     for Leaf { path, node } in tree.leaves() {
         let Some(key) = platform::key_of(&path) else {
--- a/crates/config/src/deployment/consistency.rs
+++ b/crates/config/src/deployment/consistency.rs
@@ -33,13 +33,13 @@
         burst: f64,
     },
     #[error("0; at least one attempt is needed")]
-    NoAttempts,
+    ZeroMaxAttempts,
     #[error("missing; the counter needs it")]
     CounterWithoutTimeout,
     #[error("missing; rejections with a retry_after need it")]
-    NoLongestRetryAfter,
+    MissingMaxRetryAfter,
     #[error("{value} is not a share from 0 to 1")]
-    SlowStartFloorOutOfRange { value: f64 },
+    InitialCapacityOutOfRange { value: f64 },
     #[error("{limiter} is not below the number of limiters, {limiter_count}")]
     LimiterIndexTooHigh { limiter: u32, limiter_count: u32 },
 }
@@ -47,27 +47,28 @@
 impl Deployment {
     /// Adds a fault for each contradiction between settings.
     pub(super) fn check_consistency(&self, faults: &mut Faults) {
-        let mut check = Check {
+        let mut checker = Checker {
             deployment: self,
             faults,
         };
         for (index, class) in self.settings.classes.iter().enumerate() {
-            check.class(&format!("categories.{index}"), class);
+            checker.class(&format!("categories.{index}"), class);
         }
         for (index, plan) in self.settings.plans.iter().enumerate() {
-            check.plan(&format!("contracts.{index}"), plan);
+            checker.plan(&format!("contracts.{index}"), plan);
         }
-        check.limits(&self.settings);
-        check.safety(&self.settings);
+        checker.limits(&self.settings);
+        checker.safety(&self.settings);
     }
 }
 
-struct Check<'a> {
+/// A validator that adds a fault for each contradiction it finds.
+struct Checker<'a> {
     deployment: &'a Deployment,
     faults: &'a mut Faults,
 }
 
-impl Check<'_> {
+impl Checker<'_> {
     fn add(&mut self, key: &str, contradiction: Contradiction) {
         let place = Place {
             line: self.deployment.line(key),
@@ -124,22 +125,24 @@
 
     fn limits(&mut self, settings: &Settings) {
         if settings.attempts.max_per_request == 0 {
-            self.add("limits.sendCap", Contradiction::NoAttempts);
+            self.add("limits.sendCap", Contradiction::ZeroMaxAttempts);
         }
         if settings.counter.is_available && settings.counter.timeout == 0 {
             let contradiction = Contradiction::CounterWithoutTimeout;
             self.add("familyInfo.counterTimeoutNs", contradiction);
         }
         if settings.backoff.sends_retry_after && settings.backoff.longest_retry_after == 0 {
-            let contradiction = Contradiction::NoLongestRetryAfter;
+            let contradiction = Contradiction::MissingMaxRetryAfter;
             self.add("limits.maxRetryAfterNs", contradiction);
         }
     }
 
     fn safety(&mut self, settings: &Settings) {
-        let floor = settings.slow_start.initial_capacity;
-        if !(0.0..=1.0).contains(&floor) {
-            let contradiction = Contradiction::SlowStartFloorOutOfRange { value: floor };
+        let initial_capacity = settings.slow_start.initial_capacity;
+        if !(0.0..=1.0).contains(&initial_capacity) {
+            let contradiction = Contradiction::InitialCapacityOutOfRange {
+                value: initial_capacity,
+            };
             self.add("safety.coldFrom", contradiction);
         }
         if settings.limiters.count > 0 && settings.limiters.own_index.0 >= settings.limiters.count {
--- a/crates/config/src/deployment/names.rs
+++ b/crates/config/src/deployment/names.rs
@@ -8,10 +8,10 @@
 use quartzcleat_decision::api::{Class, Plan, Settings};
 
 /// The function that returns a setting's value from its object.
-enum Read<T> {
+enum Getter<T> {
     Number(fn(&T) -> f64),
     /// A duration in nanoseconds.
-    Time(fn(&T) -> u64),
+    Duration(fn(&T) -> u64),
 }
 
 /// A setting that formulas can refer to.
@@ -20,22 +20,22 @@
     name: &'static str,
     /// The key in the file, relative to the object.
     key: &'static str,
-    read: Read<T>,
+    getter: Getter<T>,
 }
 
-const fn number<T>(name: &'static str, key: &'static str, read: fn(&T) -> f64) -> Field<T> {
+const fn number<T>(name: &'static str, key: &'static str, get: fn(&T) -> f64) -> Field<T> {
     Field {
         name,
         key,
-        read: Read::Number(read),
+        getter: Getter::Number(get),
     }
 }
 
-const fn time<T>(name: &'static str, key: &'static str, read: fn(&T) -> u64) -> Field<T> {
+const fn duration<T>(name: &'static str, key: &'static str, get: fn(&T) -> u64) -> Field<T> {
     Field {
         name,
         key,
-        read: Read::Time(read),
+        getter: Getter::Duration(get),
     }
 }
 
@@ -74,11 +74,11 @@
 
 const CLASS: Section<Class> = Section {
     fields: &[
-        time("latency_objective", "onTimeNs", |class| {
+        duration("latency_objective", "onTimeNs", |class| {
             class.latency_objective
         }),
-        time("deadline", "hardLimitNs", |class| class.deadline),
-        time("dedup_window", "dedupWindowNs", |class| class.dedup_window),
+        duration("deadline", "hardLimitNs", |class| class.deadline),
+        duration("dedup_window", "dedupWindowNs", |class| class.dedup_window),
         number("weight", "importance", |class| class.priority_weight),
         number("late_weight", "lateWorth", |class| class.late_weight),
     ],
@@ -98,10 +98,10 @@
         number("max_requests_in_progress", "limits.openCap", |settings| {
             settings.attempts.max_requests_in_progress.into()
         }),
-        time("max_retry_after", "limits.maxRetryAfterNs", |settings| {
+        duration("max_retry_after", "limits.maxRetryAfterNs", |settings| {
             settings.backoff.longest_retry_after
         }),
-        time("connect_timeout", "limits.connectTimeoutNs", |settings| {
+        duration("connect_timeout", "limits.connectTimeoutNs", |settings| {
             settings.attempts.connect_timeout
         }),
     ],
@@ -115,13 +115,13 @@
 
 const SAFETY: Section<Settings> = Section {
     fields: &[
-        time("drain_grace", "safety.drainGraceNs", |settings| {
+        duration("drain_grace", "safety.drainGraceNs", |settings| {
             settings.grace.drain
         }),
-        time("slow_start_duration", "safety.warmAfterNs", |settings| {
+        duration("slow_start_duration", "safety.warmAfterNs", |settings| {
             settings.slow_start.duration
         }),
-        time("overload_duration", "safety.tipAfterNs", |settings| {
+        duration("overload_duration", "safety.tipAfterNs", |settings| {
             settings.slow_start.overload_duration
         }),
         number("initial_capacity", "safety.coldFrom", |settings| {
@@ -141,7 +141,7 @@
 };
 
 const COUNTER_TIMEOUT: Field<Settings> =
-    time("timeout", "familyInfo.counterTimeoutNs", |settings| {
+    duration("timeout", "familyInfo.counterTimeoutNs", |settings| {
         settings.counter.timeout
     });
 const LARGEST_REQUEST: Field<Settings> = number("max", "familyInfo.unitsTop", |settings| {
@@ -165,7 +165,7 @@
         }
     }
 
-    fn of_name(self, name: &str) -> UnknownSetting {
+    fn into_error(self, name: &str) -> UnknownSetting {
         let nearest = nearest(&self.part, self.known.iter().map(String::as_str)).map(str::to_owned);
         let name = name.to_owned();
         match nearest {
@@ -201,7 +201,7 @@
             ["limiters"] => Ok(LIMITER_COUNT.value(settings, "")),
             _ => Err(UnknownPart::new(parts[0], &SECTIONS)),
         };
-        resolved.map_err(|unknown| unknown.of_name(name))
+        resolved.map_err(|unknown| unknown.into_error(name))
     }
 }
 
@@ -239,13 +239,13 @@
 
 impl<T> Field<T> {
     fn value(&self, object: &T, key_prefix: &str) -> SettingValue {
-        let (value, is_time) = match self.read {
-            Read::Number(read) => (read(object), false),
-            Read::Time(read) => (read(object) as f64, true),
+        let (value, is_duration) = match self.getter {
+            Getter::Number(get) => (get(object), false),
+            Getter::Duration(get) => (get(object) as f64, true),
         };
         SettingValue {
             value,
-            is_time,
+            is_duration,
             key: format!("{key_prefix}{}", self.key),
         }
     }
--- a/crates/config/src/deployment/tests.rs
+++ b/crates/config/src/deployment/tests.rs
@@ -39,7 +39,7 @@
     );
     assert!(deployment
         .resolve("plans.gide.burst")
-        .expect_err("a typing error")
+        .expect_err("a misspelled plan")
         .to_string()
         .contains("guide"));
     assert!(
@@ -51,12 +51,12 @@
 #[test]
 fn settings_are_found_in_a_complete_configuration() {
     let deployment = Deployment::read("day.yaml", DEPLOYMENT).expect("valid");
-    let whole = format!(
+    let complete = format!(
         "{{\"name\": \"n\", \"settings\": {}}}",
         deployment.tree.to_json()
     );
     assert_eq!(
-        Deployment::read("config.json", &whole)
+        Deployment::read("config.json", &complete)
             .expect("valid")
             .settings
             .plans,
--- a/crates/config/src/formula.rs
+++ b/crates/config/src/formula.rs
@@ -27,7 +27,7 @@
     /// The value; nanoseconds if it is a duration.
     pub value: f64,
     /// Whether the value is a duration.
-    pub is_time: bool,
+    pub is_duration: bool,
     /// The path of the setting's key in the file.
     pub key: String,
 }
@@ -47,7 +47,7 @@
     /// The value; nanoseconds if it is a duration.
     pub value: f64,
     /// Whether the value is a duration.
-    pub is_time: bool,
+    pub is_duration: bool,
     /// The keys of the settings that it depends on.
     pub keys: BTreeSet<String>,
 }
@@ -85,7 +85,7 @@
     NotFormula,
     /// A number where a duration is expected, or a negative duration.
     #[error("{text} is not a time; write one such as 250ms")]
-    NotTime {
+    NotDuration {
         /// The formula.
         text: String,
     },
@@ -103,7 +103,7 @@
     },
     /// A duration literal in the formula is invalid.
     #[error(transparent)]
-    InvalidTime(#[from] ValueError),
+    InvalidDuration(#[from] ValueError),
     /// A name in the formula is unknown.
     #[error(transparent)]
     UnknownSetting(#[from] UnknownSetting),
@@ -154,7 +154,7 @@
     match &node.content {
         Content::Number(value) => Ok(FormulaValue {
             value: *value,
-            is_time: false,
+            is_duration: false,
             keys: BTreeSet::new(),
         }),
         Content::Text(text) => evaluate_text(text, resolve),
@@ -168,10 +168,10 @@
 /// Returns the errors of [`evaluate`], and an error if the value is negative or not a duration.
 pub fn time(node: &Node, resolve: &Resolve<'_>) -> Result<Evaluated<u64>, FormulaError> {
     let formula = evaluate(node, resolve)?;
-    let is_time = formula.is_time || formula.value == 0.0;
-    if !is_time || formula.value < 0.0 {
+    let is_duration = formula.is_duration || formula.value == 0.0;
+    if !is_duration || formula.value < 0.0 {
         let text = node.text().unwrap_or_default();
-        return Err(FormulaError::NotTime { text });
+        return Err(FormulaError::NotDuration { text });
     }
     Ok(Evaluated {
         value: formula.value as u64,
@@ -185,7 +185,7 @@
 /// Returns the errors of [`evaluate`], and an error if the value is a duration.
 pub fn number(node: &Node, resolve: &Resolve<'_>) -> Result<Evaluated<f64>, FormulaError> {
     let formula = evaluate(node, resolve)?;
-    if formula.is_time {
+    if formula.is_duration {
         let text = node.text().unwrap_or_default();
         return Err(FormulaError::NotNumber { text });
     }
@@ -197,8 +197,8 @@
 
 fn evaluate_text(text: &str, resolve: &Resolve<'_>) -> Result<FormulaValue, FormulaError> {
     let scanned = scan(text, resolve)?;
-    let in_seconds = evaluate_in(&scanned.tokens, SECOND_NANOS)?;
-    let in_shorter_unit = evaluate_in(&scanned.tokens, SECOND_NANOS / UNIT_RATIO)?;
+    let in_seconds = evaluate_in_unit(&scanned.tokens, SECOND_NANOS)?;
+    let in_shorter_unit = evaluate_in_unit(&scanned.tokens, SECOND_NANOS / UNIT_RATIO)?;
     let text = text.to_owned();
     if !in_seconds.is_finite() {
         return Err(FormulaError::NotFinite { text });
@@ -206,14 +206,14 @@
     if is_close(in_seconds, in_shorter_unit) {
         return Ok(FormulaValue {
             value: in_seconds,
-            is_time: false,
+            is_duration: false,
             keys: scanned.keys,
         });
     }
     if is_close(in_seconds * UNIT_RATIO, in_shorter_unit) {
         return Ok(FormulaValue {
             value: in_seconds * SECOND_NANOS,
-            is_time: true,
+            is_duration: true,
             keys: scanned.keys,
         });
     }
@@ -221,11 +221,11 @@
 }
 
 /// Evaluates tokens with durations expressed in units of `unit_nanos` nanoseconds.
-fn evaluate_in(tokens: &[Token], unit_nanos: f64) -> Result<f64, FormulaError> {
+fn evaluate_in_unit(tokens: &[Token], unit_nanos: f64) -> Result<f64, FormulaError> {
     let expression: String = tokens
         .iter()
         .map(|token| match token {
-            Token::Time(nanos) => format!("{:?}", nanos / unit_nanos),
+            Token::Duration(nanos) => format!("{:?}", nanos / unit_nanos),
             Token::Plain(text) => text.clone(),
         })
         .collect();
--- a/crates/config/src/formula/scan.rs
+++ b/crates/config/src/formula/scan.rs
@@ -10,7 +10,7 @@
 /// A token of a formula.
 pub(super) enum Token {
     /// A duration in nanoseconds.
-    Time(f64),
+    Duration(f64),
     /// A number, an operator or a function, in evalexpr's syntax.
     Plain(String),
 }
@@ -57,12 +57,12 @@
     }
     let SettingValue {
         value,
-        is_time,
+        is_duration,
         key,
     } = resolve(&name)?;
     keys.insert(key);
-    Ok(if is_time {
-        Token::Time(value)
+    Ok(if is_duration {
+        Token::Duration(value)
     } else {
         Token::Plain(format!("{value:?}"))
     })
@@ -96,8 +96,8 @@
                 Err(_) => Err(FormulaError::InvalidNumber { text: number }),
             };
         }
-        let nanos = quantity::parse_time(&format!("{number}{unit}"))?;
-        Ok(Token::Time(nanos as f64))
+        let nanos = quantity::parse_duration(&format!("{number}{unit}"))?;
+        Ok(Token::Duration(nanos as f64))
     }
 
     fn name(&mut self) -> String {
--- a/crates/config/src/formula/tests.rs
+++ b/crates/config/src/formula/tests.rs
@@ -7,12 +7,12 @@
     match name {
         "plans.guide.burst" => Ok(SettingValue {
             value: 12.0,
-            is_time: false,
+            is_duration: false,
             key: "contracts.0.peakUnits".into(),
         }),
         "classes.bed-hold.aim" => Ok(SettingValue {
             value: 1e9,
-            is_time: true,
+            is_duration: true,
             key: "categories.1.onTimeNs".into(),
         }),
         _ => Err(UnknownSetting::Unknown {
@@ -36,10 +36,10 @@
 #[test]
 fn names_units_and_arithmetic_are_evaluated() {
     let formula = evaluated("plans.guide.burst * 1.5 - 2").expect("valid");
-    assert_eq!((formula.value, formula.is_time), (16.0, false));
+    assert_eq!((formula.value, formula.is_duration), (16.0, false));
     assert!(formula.keys.contains("contracts.0.peakUnits"));
     assert_eq!(
-        evaluated("classes.bed-hold.aim/2 + 50ms").map(|f| (f.value.round(), f.is_time)),
+        evaluated("classes.bed-hold.aim/2 + 50ms").map(|f| (f.value.round(), f.is_duration)),
         Ok((550e6, true))
     );
     assert_eq!(
--- a/crates/config/src/lease/section.rs
+++ b/crates/config/src/lease/section.rs
@@ -49,14 +49,14 @@
 pub(crate) fn read(file: &Arc<str>, node: &Node, faults: &mut Faults) -> Option<Lease> {
     let mut reader = Reader::new(file, "lease", node, faults).with_aliases(ALIASES);
     let section = Section::read(file, &mut reader, faults);
-    let mut check = Check {
+    let mut checker = Checker {
         reader: &reader,
         faults,
     };
-    check.timing(&section);
-    check.limiter(&section);
-    check.acceptors(&section);
-    check.tasks(&section);
+    checker.timing(&section);
+    checker.limiter(&section);
+    checker.acceptors(&section);
+    checker.tasks(&section);
     reader.end(faults);
     section.into_lease()
 }
@@ -120,13 +120,13 @@
     }
 }
 
-/// Validation of ranges, and of values that depend on each other.
-struct Check<'a, 'b> {
+/// A validator of ranges, and of values that depend on each other.
+struct Checker<'a, 'b> {
     reader: &'a Reader<'b>,
     faults: &'a mut Faults,
 }
 
-impl Check<'_, '_> {
+impl Checker<'_, '_> {
     fn add(&mut self, key: &str, problem: impl Display) {
         self.reader.fault(key, problem, self.faults);
     }
@@ -142,7 +142,7 @@
 
     fn limiter(&mut self, section: &Section) {
         if let Some(name) = &section.limiter {
-            self.is_limiter("limiter", name, section);
+            self.require_known_limiter("limiter", name, section);
         }
     }
 
@@ -157,7 +157,7 @@
                 let name = name.clone();
                 self.add("acceptors", LeaseConfigError::DuplicateName { name });
             }
-            self.is_limiter("acceptors", name, section);
+            self.require_known_limiter("acceptors", name, section);
         }
     }
 
@@ -177,7 +177,7 @@
         }
     }
 
-    fn is_limiter(&mut self, key: &str, name: &str, section: &Section) {
+    fn require_known_limiter(&mut self, key: &str, name: &str, section: &Section) {
         if !section.knows_limiter(name) {
             let name = name.to_owned();
             self.add(key, LeaseConfigError::UnknownLimiter { name });
--- a/crates/config/src/platform/decode.rs
+++ b/crates/config/src/platform/decode.rs
@@ -1,6 +1,6 @@
 //! Decoder of settings from `path=value` pairs.
 
-use super::keys::{DISCOVERY_MODES, EFFECTS, GROUPS, REPORT_SOURCES};
+use super::keys::{DEDUP_SCOPES, DISCOVERY_MODES, EFFECTS, REPORT_SOURCES};
 use quartzcleat_decision::api::{
     AttemptSettings, BackoffSettings, Capabilities, Class, CounterSettings, DiscoverySettings,
     GraceSettings, LimiterIndex, LimiterSettings, Plan, PriceSettings, Settings, SlowStartSettings,
@@ -141,7 +141,7 @@
         Class {
             name: self.text(&key("name")),
             effect: self.keyword(&key("effect"), &EFFECTS),
-            dedup_scope: self.keyword(&key("group"), &GROUPS),
+            dedup_scope: self.keyword(&key("group"), &DEDUP_SCOPES),
             dedup_window: self.parse(&key("dedupWindowNs")),
             latency_objective: self.parse(&key("onTimeNs")),
             latency_objective_stretch: self.number(&key("aimStretch")),
--- a/crates/config/src/platform/encode.rs
+++ b/crates/config/src/platform/encode.rs
@@ -1,6 +1,6 @@
 //! Encoder of settings as the platform's nested JSON.
 
-use super::keys::{DISCOVERY_MODES, EFFECTS, GROUPS, REPORT_SOURCES};
+use super::keys::{DEDUP_SCOPES, DISCOVERY_MODES, EFFECTS, REPORT_SOURCES};
 use quartzcleat_decision::api::{Class, Plan, Settings};
 use serde_json::{json, Value};
 
@@ -40,7 +40,7 @@
     json!({
         "name": class.name,
         "effect": keyword_for(&EFFECTS, class.effect),
-        "group": keyword_for(&GROUPS, class.dedup_scope),
+        "group": keyword_for(&DEDUP_SCOPES, class.dedup_scope),
         "dedupWindowNs": class.dedup_window,
         "onTimeNs": class.latency_objective,
         "aimStretch": class.latency_objective_stretch,
--- a/crates/config/src/platform/keys.rs
+++ b/crates/config/src/platform/keys.rs
@@ -41,7 +41,7 @@
     ("retryable", Effect::Idempotent),
     ("dedup", Effect::IdempotentWithKey),
 ];
-pub(super) const GROUPS: [(&str, DedupScope); 3] = [
+pub(super) const DEDUP_SCOPES: [(&str, DedupScope); 3] = [
     ("cell", DedupScope::Cell),
     ("all", DedupScope::All),
     ("zone", DedupScope::Zone),
@@ -55,7 +55,7 @@
 pub(super) const DISCOVERY_MODES: [(&str, bool); 2] = [("push", false), ("ask", true)];
 
 const EFFECT_KEYWORDS: [&str; 3] = keywords_of(&EFFECTS);
-const GROUP_KEYWORDS: [&str; 3] = keywords_of(&GROUPS);
+const DEDUP_SCOPE_KEYWORDS: [&str; 3] = keywords_of(&DEDUP_SCOPES);
 const REPORT_SOURCE_KEYWORDS: [&str; 3] = keywords_of(&REPORT_SOURCES);
 const DISCOVERY_MODE_KEYWORDS: [&str; 2] = keywords_of(&DISCOVERY_MODES);
 
@@ -79,7 +79,11 @@
         Kind::Keyword(&EFFECT_KEYWORDS),
         "fragile",
     ),
-    key("categories.N.group", Kind::Keyword(&GROUP_KEYWORDS), "cell"),
+    key(
+        "categories.N.group",
+        Kind::Keyword(&DEDUP_SCOPE_KEYWORDS),
+        "cell",
+    ),
     key("categories.N.dedupWindowNs", Kind::Time, "0"),
     key("categories.N.onTimeNs", Kind::Time, "0"),
     key("categories.N.aimStretch", Kind::Number, "0"),
--- a/crates/config/src/quantity.rs
+++ b/crates/config/src/quantity.rs
@@ -8,7 +8,7 @@
 mod tests;
 
 /// Upper bound of durations in nanoseconds, about 285 years. Longer ones do not fit the integer types of time.
-const MAX_TIME_NANOS: f64 = 9e18;
+const MAX_DURATION_NANOS: f64 = 9e18;
 
 /// Reads a duration such as `250ms`, `2s` or `1m 30s`, and returns it in nanoseconds. Numbers other than 0 need a unit.
 ///
@@ -16,10 +16,10 @@
 /// Returns an error if the node is not a duration.
 pub fn time(node: &Node) -> Result<u64, ValueError> {
     match &node.content {
-        Content::Text(text) => parse_time(text),
+        Content::Text(text) => parse_duration(text),
         Content::Number(number) if *number == 0.0 => Ok(0),
         Content::Number(number) => Err(ValueError::MissingUnit { number: *number }),
-        _ => Err(ValueError::NotTime),
+        _ => Err(ValueError::NotDuration),
     }
 }
 
@@ -27,17 +27,17 @@
 ///
 /// # Errors
 /// Returns an error if the text is not a duration, or the duration is out of range.
-pub fn parse_time(text: &str) -> Result<u64, ValueError> {
+pub fn parse_duration(text: &str) -> Result<u64, ValueError> {
     let text = text.trim();
     // humantime does not accept fractions such as 0.5s, so a number with a single unit is parsed here.
     match single_unit_nanos(text) {
-        Some(nanos) if (0.0..MAX_TIME_NANOS).contains(&nanos) => Ok(nanos.round() as u64),
-        Some(_) => Err(ValueError::TimeOutOfRange {
+        Some(nanos) if (0.0..MAX_DURATION_NANOS).contains(&nanos) => Ok(nanos.round() as u64),
+        Some(_) => Err(ValueError::DurationOutOfRange {
             text: text.to_owned(),
         }),
         None => humantime::parse_duration(text)
             .map(|duration| duration.as_nanos() as u64)
-            .map_err(|_| ValueError::InvalidTime {
+            .map_err(|_| ValueError::InvalidDuration {
                 text: text.to_owned(),
             }),
     }
@@ -119,7 +119,7 @@
     };
     value
         .filter(|share| (0.0..=1.0).contains(share))
-        .ok_or_else(|| ValueError::InvalidShare {
+        .ok_or_else(|| ValueError::InvalidFraction {
             text: node.text().unwrap_or_default(),
         })
 }
--- a/crates/config/src/quantity/tests.rs
+++ b/crates/config/src/quantity/tests.rs
@@ -35,7 +35,7 @@
 #[test]
 fn durations_are_displayed_as_they_are_read() {
     for nanos in [7, 1_500, 250_000_000, 1_500_000_000, 90_000_000_000] {
-        assert_eq!(parse_time(&show_time(nanos)), Ok(nanos));
+        assert_eq!(parse_duration(&show_time(nanos)), Ok(nanos));
     }
 }
 
--- a/crates/config/src/reader.rs
+++ b/crates/config/src/reader.rs
@@ -240,7 +240,7 @@
 pub fn flag(node: &Node) -> Result<bool, ValueError> {
     match node.content {
         Content::Flag(flag) => Ok(flag),
-        _ => Err(ValueError::NotFlag),
+        _ => Err(ValueError::NotBool),
     }
 }
 
--- a/crates/config/src/replacement/tests.rs
+++ b/crates/config/src/replacement/tests.rs
@@ -59,7 +59,7 @@
     other.as_object_mut().expect("an object").remove("known");
     assert!(
         check_replacement(&current, &other).is_empty(),
-        "classes come and go: {:?}",
+        "classes may be added and removed: {:?}",
         check_replacement(&current, &other)
     );
 }
@@ -74,7 +74,7 @@
     } in invalid_changes()
     {
         let mut invalid = current.clone();
-        *invalid.pointer_mut(pointer).expect("it is there") = value;
+        *invalid.pointer_mut(pointer).expect("the pointer exists") = value;
         let faults = check_replacement(&current, &invalid);
         assert!(
             faults
--- a/crates/config/src/value.rs
+++ b/crates/config/src/value.rs
@@ -8,7 +8,7 @@
     NotText,
     /// Something other than `true` or `false`.
     #[error("neither true nor false")]
-    NotFlag,
+    NotBool,
     /// An unknown keyword that resembles an accepted one.
     #[error("{keyword:?} is not known; did you mean {nearest}?")]
     MisspelledKeyword {
@@ -33,16 +33,16 @@
     },
     /// A boolean, list, map or null where a duration is expected.
     #[error("not a time; write one such as 250ms or 2s")]
-    NotTime,
+    NotDuration,
     /// Text that is not a duration.
     #[error("{text:?} is not a time; write one such as 250ms or 2s")]
-    InvalidTime {
+    InvalidDuration {
         /// The text.
         text: String,
     },
     /// A duration that is negative, or too long to be represented.
     #[error("{text:?} is not between 0 and 292 years")]
-    TimeOutOfRange {
+    DurationOutOfRange {
         /// The text.
         text: String,
     },
@@ -70,7 +70,7 @@
     },
     /// A value that is not a fraction from 0 to 1.
     #[error("{text:?} is not a share; write one such as 10% or 0.1")]
-    InvalidShare {
+    InvalidFraction {
         /// The value as text; empty for lists and maps.
         text: String,
     },
