--- a/crates/config/src/deployment.rs
+++ b/crates/config/src/deployment.rs
@@ -149,10 +149,10 @@
             unknown_keys::check(file, &path, node.place, tree, faults);
             continue;
         };
-        if key.kind != Kind::Time || !matches!(node.content, Content::Text(_)) {
+        if key.kind != Kind::Duration || !matches!(node.content, Content::Text(_)) {
             continue;
         }
-        match quantity::time(node) {
+        match quantity::duration(node) {
             // `set` succeeds: the path is a leaf of the same tree.
             Ok(nanos) => {
                 normalized.set(&path, Content::Number(nanos as f64));
--- a/crates/config/src/deployment/consistency.rs
+++ b/crates/config/src/deployment/consistency.rs
@@ -3,7 +3,7 @@
 use super::Deployment;
 use crate::fault::Faults;
 use crate::key_path::join;
-use crate::quantity::show_time;
+use crate::quantity::format_duration;
 use crate::tree::Place;
 use quartzcleat_decision::api::{Class, Effect, Plan, Settings};
 
@@ -13,7 +13,7 @@
 enum Contradiction {
     #[error("missing; requests name their class")]
     ClassWithoutName,
-    #[error("{} is not after the latency objective, {}", show_time(*deadline), show_time(*latency_objective))]
+    #[error("{} is not after the latency objective, {}", format_duration(*deadline), format_duration(*latency_objective))]
     DeadlineBeforeObjective {
         deadline: u64,
         latency_objective: u64,
--- a/crates/config/src/formula.rs
+++ b/crates/config/src/formula.rs
@@ -166,7 +166,7 @@
 ///
 /// # Errors
 /// Returns the errors of [`evaluate`], and an error if the value is negative or not a duration.
-pub fn time(node: &Node, resolve: &Resolve<'_>) -> Result<Evaluated<u64>, FormulaError> {
+pub fn duration(node: &Node, resolve: &Resolve<'_>) -> Result<Evaluated<u64>, FormulaError> {
     let formula = evaluate(node, resolve)?;
     let is_duration = formula.is_duration || formula.value == 0.0;
     if !is_duration || formula.value < 0.0 {
--- a/crates/config/src/lease.rs
+++ b/crates/config/src/lease.rs
@@ -22,7 +22,7 @@
 
 /// The validated section `lease`.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Lease {
+pub struct LeaseConfig {
     /// This limiter's name, a key of `limiters`.
     pub limiter: String,
     /// The file that contains the key shared by all limiters.
--- a/crates/config/src/lease/section.rs
+++ b/crates/config/src/lease/section.rs
@@ -3,7 +3,7 @@
 use super::limiters::read_limiters;
 use super::task::read_task;
 use super::testing::{read_clock_fault, read_scheduled_crash};
-use super::{ClockFault, Lease, LeaseConfigError, ScheduledCrash, Task};
+use super::{ClockFault, LeaseConfig, LeaseConfigError, ScheduledCrash, Task};
 use crate::fault::Faults;
 use crate::quantity;
 use crate::reader::{list, text, Alias, Reader};
@@ -46,7 +46,7 @@
 
 /// Reads and validates the section, and adds all problems to `faults`. Returns `None` if a required value is missing or
 /// unreadable.
-pub(crate) fn read(file: &Arc<str>, node: &Node, faults: &mut Faults) -> Option<Lease> {
+pub(crate) fn read(file: &Arc<str>, node: &Node, faults: &mut Faults) -> Option<LeaseConfig> {
     let mut reader = Reader::new(file, "lease", node, faults).with_aliases(ALIASES);
     let section = Section::read(file, &mut reader, faults);
     let mut checker = Checker {
@@ -105,8 +105,8 @@
             .is_none_or(|limiters| limiters.contains_key(name))
     }
 
-    fn into_lease(self) -> Option<Lease> {
-        Some(Lease {
+    fn into_lease(self) -> Option<LeaseConfig> {
+        Some(LeaseConfig {
             limiter: self.limiter?,
             key_file: self.key_file?.into(),
             duration: self.duration,
--- a/crates/config/src/lease/testing.rs
+++ b/crates/config/src/lease/testing.rs
@@ -83,7 +83,7 @@
     let mut share = |key| reader.take(key, faults, quantity::share).unwrap_or(0.0);
     let fast = share("fast");
     let slow = share("slow");
-    let mut nanos = |key| reader.take(key, faults, quantity::time).unwrap_or(0) as i64;
+    let mut nanos = |key| reader.take(key, faults, quantity::duration).unwrap_or(0) as i64;
     let ahead = nanos("ahead");
     let behind = nanos("behind");
     if fast > MAX_RATE_ERROR || slow > MAX_RATE_ERROR {
--- a/crates/config/src/lease/tests.rs
+++ b/crates/config/src/lease/tests.rs
@@ -1,12 +1,12 @@
 //! Tests of the section `lease`.
 
-use super::{Lease, TaskAction};
-use crate::Product;
+use super::{LeaseConfig, TaskAction};
+use crate::ProductConfig;
 
 const VALID: &str = "lease:\n  limiter: a\n  key: k\n  duration: 2s\n  drift: 1%\n  limiters:\n    a: 127.0.0.1:1\n    b: 127.0.0.1:2\n    c: 127.0.0.1:3\n  acceptors: [a, b, c]\n  tasks:\n    - name: beat\n      target: 127.0.0.1:9\n";
 
-fn read_lease(text: &str) -> Lease {
-    Product::read("q.yaml", text)
+fn read_lease(text: &str) -> LeaseConfig {
+    ProductConfig::read("q.yaml", text)
         .expect("the file is valid")
         .lease
         .expect("the section is there")
@@ -27,7 +27,8 @@
 
 #[test]
 fn section_is_optional() {
-    let without = Product::read("q.yaml", "metrics_interval: 1s\n").expect("the file is valid");
+    let without =
+        ProductConfig::read("q.yaml", "metrics_interval: 1s\n").expect("the file is valid");
     assert_eq!(without.lease, None);
 }
 
@@ -162,7 +163,7 @@
 fn invalid_values_are_rejected_with_their_line() {
     for (from, to, expected) in INVALID {
         assert!(VALID.contains(from));
-        let faults = Product::read("q.yaml", &VALID.replace(from, to))
+        let faults = ProductConfig::read("q.yaml", &VALID.replace(from, to))
             .expect_err("the file is invalid")
             .to_string();
         assert!(faults.contains(expected), "{expected}\nnot in\n{faults}");
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -18,7 +18,7 @@
 
 pub use deployment::Deployment;
 pub use fault::{Fault, Faults};
-pub use product::Product;
+pub use product::ProductConfig;
 pub use reader::Reader;
 pub use tree::Node;
 pub use value::ValueError;
--- a/crates/config/src/platform/tests.rs
+++ b/crates/config/src/platform/tests.rs
@@ -36,7 +36,7 @@
         };
         assert_eq!(read(default), absent, "{path}");
         let other = match kind {
-            Kind::Time | Kind::Number => "7",
+            Kind::Duration | Kind::Number => "7",
             Kind::Flag => "true",
             Kind::Keyword(keywords) => keywords[1],
             Kind::Name => "x",
--- a/crates/config/src/product.rs
+++ b/crates/config/src/product.rs
@@ -5,7 +5,7 @@
 mod tests;
 
 use crate::fault::Faults;
-use crate::lease::{self, Lease};
+use crate::lease::{self, LeaseConfig};
 use crate::quantity;
 use crate::reader::{one_of, text, Alias, Reader};
 use crate::tree::{self, Node};
@@ -71,21 +71,21 @@
 
 /// The settings of the product's own file.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Product {
+pub struct ProductConfig {
     /// The log settings; the defaults if absent.
     pub log: LogConfig,
     /// The interval at which metrics are logged. `None` disables them.
     pub metrics_interval: Option<Duration>,
     /// The leases for fleet-wide tasks. `None` disables them.
-    pub lease: Option<Lease>,
+    pub lease: Option<LeaseConfig>,
 }
 
-impl Product {
+impl ProductConfig {
     /// Parses and validates the text of the file.
     ///
     /// # Errors
     /// Returns all faults of the file.
-    pub fn read(file: &str, text: &str) -> Result<Product, Faults> {
+    pub fn read(file: &str, text: &str) -> Result<ProductConfig, Faults> {
         let file: Arc<str> = file.into();
         let tree = tree::parse(&file, text)?;
         let mut faults = Faults::default();
@@ -102,7 +102,7 @@
             .node("lease")
             .and_then(|node| lease::read(&file, node, &mut faults));
         reader.end(&mut faults);
-        faults.into_result(Product {
+        faults.into_result(ProductConfig {
             log: log.unwrap_or_default(),
             metrics_interval,
             lease,
--- a/crates/config/src/product/tests.rs
+++ b/crates/config/src/product/tests.rs
@@ -4,16 +4,20 @@
 
 #[test]
 fn empty_file_gives_the_defaults() {
-    assert_eq!(Product::read("q.yaml", ""), Ok(Product::default()));
+    assert_eq!(
+        ProductConfig::read("q.yaml", ""),
+        Ok(ProductConfig::default())
+    );
 }
 
 #[test]
 fn metrics_are_off_unless_an_interval_is_given() {
     assert_eq!(
-        Product::read("q.yaml", "metrics_interval: 1s\n").map(|product| product.metrics_interval),
+        ProductConfig::read("q.yaml", "metrics_interval: 1s\n")
+            .map(|product| product.metrics_interval),
         Ok(Some(Duration::from_secs(1)))
     );
-    let faults = Product::read("q.yaml", "metrics_interval: 0s\n")
+    let faults = ProductConfig::read("q.yaml", "metrics_interval: 0s\n")
         .expect_err("faulty")
         .to_string();
     assert!(
@@ -25,10 +29,10 @@
 #[test]
 fn former_name_of_the_metrics_interval_is_accepted() {
     assert_eq!(
-        Product::read("q.yaml", "tally: 2s\n"),
-        Product::read("q.yaml", "metrics_interval: 2s\n")
+        ProductConfig::read("q.yaml", "tally: 2s\n"),
+        ProductConfig::read("q.yaml", "metrics_interval: 2s\n")
     );
-    let faults = Product::read("q.yaml", "tally: 0s\n")
+    let faults = ProductConfig::read("q.yaml", "tally: 0s\n")
         .expect_err("faulty")
         .to_string();
     assert!(
@@ -41,7 +45,7 @@
 fn every_fault_has_its_line_and_remedy() {
     let text =
         "log:\n  filter: inf\n  form: xml\n  window: 10\n  burst: 0.5\n  brust: 3\nlogs: 1\n";
-    let faults = Product::read("q.yaml", text)
+    let faults = ProductConfig::read("q.yaml", text)
         .expect_err("faulty")
         .to_string();
     for part in [
--- a/crates/config/src/quantity.rs
+++ b/crates/config/src/quantity.rs
@@ -14,7 +14,7 @@
 ///
 /// # Errors
 /// Returns an error if the node is not a duration.
-pub fn time(node: &Node) -> Result<u64, ValueError> {
+pub fn duration(node: &Node) -> Result<u64, ValueError> {
     match &node.content {
         Content::Text(text) => parse_duration(text),
         Content::Number(number) if *number == 0.0 => Ok(0),
@@ -66,7 +66,7 @@
 
 /// Formats a duration in the largest unit from ns to s in which it is at least 1, with at most three decimal places.
 #[must_use]
-pub fn show_time(nanos: u64) -> String {
+pub fn format_duration(nanos: u64) -> String {
     let (value, unit) = match nanos {
         0 => return "0".to_owned(),
         1..1_000 => (nanos as f64, "ns"),
--- a/crates/config/src/quantity/tests.rs
+++ b/crates/config/src/quantity/tests.rs
@@ -17,16 +17,16 @@
         ("1.5 s", 1_500_000_000),
         ("1m 30s", 90_000_000_000),
     ] {
-        assert_eq!(time(&text(written)), Ok(nanos), "{written}");
+        assert_eq!(duration(&text(written)), Ok(nanos), "{written}");
     }
     for wrong in ["250", "fast", "5 parsecs", "-3s", ""] {
-        assert!(time(&text(wrong)).is_err(), "{wrong}");
+        assert!(duration(&text(wrong)).is_err(), "{wrong}");
     }
     let bare = Node {
         place: Place::default(),
         content: Content::Number(250.0),
     };
-    assert!(time(&bare)
+    assert!(duration(&bare)
         .expect_err("no unit")
         .to_string()
         .contains("250ms"));
@@ -35,7 +35,7 @@
 #[test]
 fn durations_are_displayed_as_they_are_read() {
     for nanos in [7, 1_500, 250_000_000, 1_500_000_000, 90_000_000_000] {
-        assert_eq!(parse_duration(&show_time(nanos)), Ok(nanos));
+        assert_eq!(parse_duration(&format_duration(nanos)), Ok(nanos));
     }
 }
 
--- a/crates/config/src/reader.rs
+++ b/crates/config/src/reader.rs
@@ -154,7 +154,7 @@
 
     /// Reads an optional duration.
     pub fn duration(&mut self, key: &'static str, faults: &mut Faults) -> Option<Duration> {
-        self.take(key, faults, quantity::time)
+        self.take(key, faults, quantity::duration)
             .map(Duration::from_nanos)
     }
 
--- a/crates/expectations/src/attribution/alternatives.rs
+++ b/crates/expectations/src/attribution/alternatives.rs
@@ -36,8 +36,8 @@
                 .map(|keyword| Content::Text((*keyword).to_owned()))
                 .collect()
         }
-        Kind::Time | Kind::Number => {
-            let is_time = *kind == Kind::Time;
+        Kind::Duration | Kind::Number => {
+            let is_time = *kind == Kind::Duration;
             let present = numeric_value(node, is_time);
             let default = default.parse().ok().filter(|default| *default != present);
             let mut values: Vec<Content> = default.map(Content::Number).into_iter().collect();
@@ -55,7 +55,7 @@
 fn numeric_value(node: &Node, is_time: bool) -> f64 {
     match &node.content {
         Content::Number(value) => *value,
-        _ if is_time => quantity::time(node).map_or(0.0, |nanos| nanos as f64),
+        _ if is_time => quantity::duration(node).map_or(0.0, |nanos| nanos as f64),
         _ => 0.0,
     }
 }
@@ -98,8 +98,8 @@
 pub(super) fn show(path: &str, content: &Content) -> String {
     let kind = key_of(path).map(|key| key.kind);
     match (content, kind) {
-        (Content::Number(nanos), Some(Kind::Time)) if *nanos >= 0.0 => {
-            quantity::show_time(*nanos as u64)
+        (Content::Number(nanos), Some(Kind::Duration)) if *nanos >= 0.0 => {
+            quantity::format_duration(*nanos as u64)
         }
         (Content::Number(value), _) => format!("{value}"),
         (Content::Flag(flag), _) => flag.to_string(),
--- a/crates/expectations/src/check/vacuity.rs
+++ b/crates/expectations/src/check/vacuity.rs
@@ -207,6 +207,6 @@
 fn numeric_value(node: &Node) -> f64 {
     match node.content {
         Content::Number(value) => value,
-        _ => quantity::time(node).map_or(0.0, |nanos| nanos as f64),
+        _ => quantity::duration(node).map_or(0.0, |nanos| nanos as f64),
     }
 }
--- a/crates/expectations/src/compile/facts.rs
+++ b/crates/expectations/src/compile/facts.rs
@@ -49,7 +49,7 @@
         let mut map = Reader::new(file, "facts", node, faults).with_aliases(aliases::FACT_KEYS);
         replace(
             &mut truth.grace.drain,
-            map.take("drain_grace", faults, quantity::time),
+            map.take("drain_grace", faults, quantity::duration),
         );
         let max_attempts = map.take("max_attempts", faults, |node| {
             quantity::count(node, 1..=100)
@@ -99,11 +99,11 @@
     );
     replace(
         &mut truth.slow_start.duration,
-        map.take("duration", faults, quantity::time),
+        map.take("duration", faults, quantity::duration),
     );
     replace(
         &mut truth.slow_start.overload_duration,
-        map.take("overload_duration", faults, quantity::time),
+        map.take("overload_duration", faults, quantity::duration),
     );
     replace(
         &mut truth.slow_start.overload_factor,
@@ -119,9 +119,9 @@
     }
     replace(
         &mut class.dedup_window,
-        map.take("dedup_window", faults, quantity::time),
+        map.take("dedup_window", faults, quantity::duration),
     );
-    replace(work, map.take("work", faults, quantity::time));
+    replace(work, map.take("work", faults, quantity::duration));
 }
 
 fn read_repeats(node: &Node) -> Result<Repeats, ValueError> {
--- a/crates/expectations/src/compile/given.rs
+++ b/crates/expectations/src/compile/given.rs
@@ -180,7 +180,7 @@
     if let Some(outcomes) = outcomes {
         counter.call_outcomes = outcomes;
     }
-    if let Some(duration) = map.take("call_duration", faults, quantity::time) {
+    if let Some(duration) = map.take("call_duration", faults, quantity::duration) {
         counter.call_duration = duration;
     }
     if let Some(shards) = map.take("shards", faults, |node| quantity::count(node, 1..=64)) {
--- a/crates/expectations/src/compile/installation.rs
+++ b/crates/expectations/src/compile/installation.rs
@@ -187,15 +187,15 @@
     let mut map = Reader::new(file, "network", node, faults).with_aliases(aliases::NETWORK_KEYS);
     replace(
         &mut network.same_zone,
-        map.take("same_zone", faults, quantity::time),
+        map.take("same_zone", faults, quantity::duration),
     );
     replace(
         &mut network.cross_zone,
-        map.take("cross_zone", faults, quantity::time),
+        map.take("cross_zone", faults, quantity::duration),
     );
     replace(
         &mut network.counter,
-        map.take("counter", faults, quantity::time),
+        map.take("counter", faults, quantity::duration),
     );
     map.end(faults);
     network
@@ -207,7 +207,7 @@
         ("draining", HostState::Draining),
     ];
     replace(&mut setup.state, map.keyword("state", &states, faults));
-    if let Some(uptime) = map.take("uptime", faults, quantity::time) {
+    if let Some(uptime) = map.take("uptime", faults, quantity::duration) {
         setup.uptime = Some(uptime);
     }
     let cores = map.take("cores", faults, |node| quantity::count(node, 1..=1024));
--- a/crates/expectations/src/compile/reading.rs
+++ b/crates/expectations/src/compile/reading.rs
@@ -128,7 +128,7 @@
 impl Compiler<'_> {
     /// A time, which may be a formula over the settings.
     pub(super) fn time(&mut self, node: &Node) -> Result<Nanos, ValueError> {
-        let formula = formula::time(node, &|name| self.deployment.resolve(name))?;
+        let formula = formula::duration(node, &|name| self.deployment.resolve(name))?;
         self.setting_keys.extend(formula.keys);
         Ok(formula.value)
     }
--- a/crates/expectations/src/evaluation.rs
+++ b/crates/expectations/src/evaluation.rs
@@ -11,7 +11,7 @@
 use crate::history::{RequestHistory, RunHistory};
 use crate::requirement::{Bounds, Condition, RequestFilter, Requirement};
 use bounds::Unit;
-use quartzcleat_config::quantity::show_time;
+use quartzcleat_config::quantity::format_duration;
 use quartzcleat_decision::api::{Nanos, RequestId};
 use quartzcleat_invariants::{check, Answer, InvariantLimits, Processes, Record};
 
@@ -229,7 +229,7 @@
         Answer::Failed => "failed".to_owned(),
         Answer::Rejected(0) => "rejected without retry_after".to_owned(),
         Answer::Rejected(retry_after) => {
-            format!("rejected with retry_after {}", show_time(retry_after))
+            format!("rejected with retry_after {}", format_duration(retry_after))
         }
     }
 }
--- a/crates/expectations/src/evaluation/bounds.rs
+++ b/crates/expectations/src/evaluation/bounds.rs
@@ -1,7 +1,7 @@
 //! Bounds of values, and how a violation of them reads.
 
 use crate::requirement::Bounds;
-use quartzcleat_config::quantity::show_time;
+use quartzcleat_config::quantity::format_duration;
 
 /// Sums of units are exact to seven digits at the counter, not more.
 const RELATIVE_TOLERANCE: f64 = 1e-6;
@@ -20,7 +20,7 @@
 impl Unit {
     fn show(self, value: f64) -> String {
         match self {
-            Unit::Nanoseconds => show_time(value.max(0.0) as u64),
+            Unit::Nanoseconds => format_duration(value.max(0.0) as u64),
             Unit::Number => format!("{}", (value * SHOWN_FRACTION).round() / SHOWN_FRACTION),
         }
     }
--- a/crates/fault-injection/src/scenario/read.rs
+++ b/crates/fault-injection/src/scenario/read.rs
@@ -86,7 +86,7 @@
 }
 
 fn duration(node: &Node) -> Result<Duration, ValueError> {
-    quantity::time(node).map(Duration::from_nanos)
+    quantity::duration(node).map(Duration::from_nanos)
 }
 
 /// Reads the keys in the order in which their faults are reported.
--- a/crates/fault-injection/src/scenario/write.rs
+++ b/crates/fault-injection/src/scenario/write.rs
@@ -1,7 +1,7 @@
 //! Writes a scenario as YAML.
 
 use super::{Fault, Scenario};
-use quartzcleat_config::quantity::show_time;
+use quartzcleat_config::quantity::format_duration;
 use std::time::Duration;
 
 impl Scenario {
@@ -48,5 +48,5 @@
 }
 
 fn time(duration: Duration) -> String {
-    show_time(duration.as_nanos() as u64)
+    format_duration(duration.as_nanos() as u64)
 }
--- a/src/cli/serve.rs
+++ b/src/cli/serve.rs
@@ -2,7 +2,7 @@
 
 use crate::logging::{self, LoggingError};
 use crate::net::{self, config, StartError};
-use quartzcleat_config::{Faults, Product};
+use quartzcleat_config::{Faults, ProductConfig};
 use std::io;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -41,15 +41,15 @@
 ///
 /// # Errors
 /// Fails where the file cannot be read or has faults.
-pub fn read_product_config(path: Option<&Path>) -> Result<Product, ProductConfigError> {
+pub fn read_product_config(path: Option<&Path>) -> Result<ProductConfig, ProductConfigError> {
     let Some(path) = path else {
-        return Ok(Product::default());
+        return Ok(ProductConfig::default());
     };
     let text = std::fs::read_to_string(path).map_err(|source| ProductConfigError::Read {
         path: path.to_owned(),
         source,
     })?;
-    let product = Product::read(&path.display().to_string(), &text)?;
+    let product = ProductConfig::read(&path.display().to_string(), &text)?;
     Ok(product)
 }
 
--- a/src/net/config/mod.rs
+++ b/src/net/config/mod.rs
@@ -17,7 +17,7 @@
 pub use parse::{parse, parse_replacement};
 
 use crate::api::Settings;
-use quartzcleat_config::lease::Lease;
+use quartzcleat_config::lease::LeaseConfig;
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -59,5 +59,5 @@
     /// How often the metrics are logged, from the product's own file; never if absent.
     pub metrics_interval: Option<Duration>,
     /// Leases for fleet-wide tasks, from the product's own file; none if absent.
-    pub lease: Option<Lease>,
+    pub lease: Option<LeaseConfig>,
 }
--- a/src/net/leases/node.rs
+++ b/src/net/leases/node.rs
@@ -3,7 +3,7 @@
 use super::clock::LeaseClock;
 use crate::net::peers::{DatagramKind, DropReason, Peers};
 use crate::net::unix_time;
-use quartzcleat_config::lease::{Lease, Task};
+use quartzcleat_config::lease::{LeaseConfig, Task};
 use quartzcleat_lease::{
     stagger_delay, Acceptor, Body, FencingToken, Guard, LeaseTiming, Message, Nanos,
     PermittedOperation, Proposer, ProposerConfig, MAX_MESSAGE_BYTES,
@@ -39,7 +39,7 @@
 }
 
 impl LeaseNode {
-    pub(super) fn new(lease: &Lease, peers: Rc<Peers>) -> Self {
+    pub(super) fn new(lease: &LeaseConfig, peers: Rc<Peers>) -> Self {
         let timing = LeaseTiming {
             duration: lease.duration.as_nanos() as Nanos,
             drift_per_mille: lease.drift_per_mille,
@@ -238,7 +238,7 @@
 }
 
 /// A limiter's index in the order of the names. The configuration has checked that the name is there.
-pub(super) fn index_of_limiter(lease: &Lease, name: &str) -> u32 {
+pub(super) fn index_of_limiter(lease: &LeaseConfig, name: &str) -> u32 {
     lease
         .limiters
         .keys()
@@ -246,7 +246,7 @@
         .unwrap_or_default() as u32
 }
 
-fn new_proposers(lease: &Lease, node_id: u32, timing: LeaseTiming) -> Vec<Proposer> {
+fn new_proposers(lease: &LeaseConfig, node_id: u32, timing: LeaseTiming) -> Vec<Proposer> {
     let limiters: Vec<String> = lease.limiters.keys().cloned().collect();
     let wall_clock_offset = lease.clock_fault.wall_clock_offset_nanos;
     let initial_round =
--- a/src/net/leases/startup.rs
+++ b/src/net/leases/startup.rs
@@ -9,7 +9,7 @@
 use crate::net::shutdown::{Phase, Shutdown};
 use crate::net::task::spawn;
 use crate::net::usage_export::{Exporter, UsageRecorder};
-use quartzcleat_config::lease::{ClockFault, Lease, Task, TaskAction};
+use quartzcleat_config::lease::{ClockFault, LeaseConfig, Task, TaskAction};
 use quartzcleat_lease::SharedKey;
 use std::io;
 use std::net::SocketAddr;
@@ -25,7 +25,7 @@
 ///
 /// # Errors
 /// [`LeaseError::OpenSpool`] where the spool cannot be written.
-pub fn open_usage_recorder(lease: &Lease) -> Result<Option<Rc<UsageRecorder>>, LeaseError> {
+pub fn open_usage_recorder(lease: &LeaseConfig) -> Result<Option<Rc<UsageRecorder>>, LeaseError> {
     let spool = lease.tasks.iter().find_map(|task| match &task.action {
         TaskAction::ExportUsage { spool, .. } => Some(spool),
         TaskAction::Heartbeat { .. } => None,
@@ -47,7 +47,7 @@
 /// # Errors
 /// Where the key cannot be read or the address cannot be bound.
 pub async fn start(
-    lease: Lease,
+    lease: LeaseConfig,
     shutdown: &Shutdown,
     usage_recorder: Option<Rc<UsageRecorder>>,
 ) -> Result<(), LeaseError> {
@@ -77,7 +77,7 @@
     Ok(())
 }
 
-fn read_key(lease: &Lease) -> Result<SharedKey, LeaseError> {
+fn read_key(lease: &LeaseConfig) -> Result<SharedKey, LeaseError> {
     let path = lease.key_file.clone();
     let secret = std::fs::read(&path).map_err(|source| LeaseError::ReadKey {
         path: path.clone(),
@@ -91,7 +91,7 @@
 
 /// The inputs of a start, which wait until the address is bound.
 struct Startup {
-    lease: Lease,
+    lease: LeaseConfig,
     key: SharedKey,
     node_id: u32,
     phases: watch::Receiver<Phase>,
--- a/src/net/limiter.rs
+++ b/src/net/limiter.rs
@@ -16,7 +16,7 @@
 use super::stages::{complete, Pipeline};
 use super::start_error::StartError;
 use super::task::spawn;
-use quartzcleat_config::lease::Lease;
+use quartzcleat_config::lease::LeaseConfig;
 use serde_json::Value;
 use std::io;
 use std::net::SocketAddr;
@@ -62,7 +62,7 @@
     listen: SocketAddr,
     admin: Option<SocketAddr>,
     known_hosts: Value,
-    lease: Option<Lease>,
+    lease: Option<LeaseConfig>,
     backoff: Backoff,
 }
 
@@ -156,7 +156,7 @@
         Ok(())
     }
 
-    async fn start_leases(&self, lease: Lease) -> Result<(), StartError> {
+    async fn start_leases(&self, lease: LeaseConfig) -> Result<(), StartError> {
         let usage_recorder = leases::open_usage_recorder(&lease)?;
         if let Some(usage_recorder) = &usage_recorder {
             self.pipeline.record_usage(usage_recorder.clone());
--- a/tests/documentation/keys.rs
+++ b/tests/documentation/keys.rs
@@ -4,7 +4,7 @@
 //! of its maps; a count of the readers in the sources makes a new map fail until it has one too.
 
 use crate::{pages, scanner, sources};
-use quartzcleat_config::{Deployment, Faults, Product};
+use quartzcleat_config::{Deployment, Faults, ProductConfig};
 use quartzcleat_expectations::{compile, suite};
 use quartzcleat_fault_injection::Scenario;
 use std::collections::BTreeSet;
@@ -224,7 +224,7 @@
 
 #[test]
 fn every_key_of_the_product_configuration_is_documented() {
-    let faults = Product::read("product.yaml", PRODUCT).expect_err("it has unknown keys");
+    let faults = ProductConfig::read("product.yaml", PRODUCT).expect_err("it has unknown keys");
     let maps = known_keys(&faults);
     assert_eq!(maps.len(), unknown_keys_in(PRODUCT), "{faults}");
     assert_named(&maps, PRODUCT_DESCRIPTIONS);
