--- a/crates/config/src/deployment.rs
+++ b/crates/config/src/deployment.rs
@@ -76,7 +76,7 @@
     pub fn from_tree(file: Arc<str>, tree: Node) -> Result<Deployment, Faults> {
         let mut faults = Faults::default();
         if !matches!(tree.content, Content::Map(_)) {
-            faults.add(&file, tree.place, "", "not a map of settings");
+            faults.add(&file, tree.place, "", "the settings are not a map");
             return Err(faults);
         }
         let normalized = with_durations_in_nanos(&file, &tree, &mut faults);
--- a/crates/config/src/deployment/consistency.rs
+++ b/crates/config/src/deployment/consistency.rs
@@ -11,18 +11,18 @@
 /// key.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 enum Contradiction {
-    #[error("missing; requests name their class")]
+    #[error("missing; requests refer to classes by name")]
     ClassWithoutName,
-    #[error("{} is not after the latency objective, {}", format_duration(*deadline), format_duration(*latency_objective))]
+    #[error("{} is not a valid deadline; it must not be 0 or shorter than the latency objective, {}", format_duration(*deadline), format_duration(*latency_objective))]
     DeadlineBeforeObjective {
         deadline: u64,
         latency_objective: u64,
     },
     #[error("missing; a class with idempotency keys needs a deduplication window")]
     KeyedClassWithoutDedupWindow,
-    #[error("missing; requests name their plan")]
+    #[error("missing; requests refer to plans by name")]
     PlanWithoutName,
-    #[error("a quota is not negative")]
+    #[error("rate and burst must not be negative")]
     NegativeQuota,
     #[error("{burst} is less than the largest request, {largest_request}")]
     BurstBelowLargestRequest { burst: f64, largest_request: f64 },
@@ -34,13 +34,13 @@
     },
     #[error("0; at least one attempt is needed")]
     ZeroMaxAttempts,
-    #[error("missing; the counter needs it")]
+    #[error("missing; required if familyInfo.counter is true")]
     CounterWithoutTimeout,
-    #[error("missing; rejections with a retry_after need it")]
+    #[error("missing; required if limits.retryAfter is true")]
     MissingMaxRetryAfter,
-    #[error("{value} is not a share from 0 to 1")]
+    #[error("{value} is not a fraction from 0 to 1")]
     InitialCapacityOutOfRange { value: f64 },
-    #[error("{limiter} is not below the number of limiters, {limiter_count}")]
+    #[error("index {limiter} is out of range for {limiter_count} limiters")]
     LimiterIndexTooHigh { limiter: u32, limiter_count: u32 },
 }
 
--- a/crates/config/src/formula.rs
+++ b/crates/config/src/formula.rs
@@ -56,7 +56,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum UnknownSetting {
     /// A part of the name is unknown and resembles a known one.
-    #[error("{name}: {part:?} is not known; did you mean {nearest}?")]
+    #[error("{name}: unknown part {part:?}; did you mean {nearest}?")]
     Misspelled {
         /// The whole name.
         name: String,
@@ -66,7 +66,7 @@
         nearest: String,
     },
     /// A part of the name is unknown and resembles no known one.
-    #[error("{name}: {part:?} is not known; one of {}", known.join(", "))]
+    #[error("{name}: unknown part {part:?}; expected one of {}", known.join(", "))]
     Unknown {
         /// The whole name.
         name: String,
@@ -81,16 +81,16 @@
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum FormulaError {
     /// A boolean, list, map or null where a formula is expected.
-    #[error("not a formula; write a number, a time or a formula")]
+    #[error("not a formula; write a number, a duration or a formula")]
     NotFormula,
     /// A number where a duration is expected, or a negative duration.
-    #[error("{text} is not a time; write one such as 250ms")]
+    #[error("{text} is not a valid duration; write one such as 250ms")]
     NotDuration {
         /// The formula.
         text: String,
     },
     /// A duration where a number is expected.
-    #[error("{text} is a time where a number belongs")]
+    #[error("{text} is a duration; expected a plain number")]
     NotNumber {
         /// The formula.
         text: String,
@@ -128,7 +128,7 @@
         text: String,
     },
     /// A formula that mixes durations and plain numbers, such as `1 + 5ms`.
-    #[error("{text:?} mixes times and plain numbers")]
+    #[error("{text:?} mixes durations and plain numbers")]
     MixedUnits {
         /// The formula.
         text: String,
--- a/crates/config/src/lease/tests.rs
+++ b/crates/config/src/lease/tests.rs
@@ -65,7 +65,7 @@
     (
         "[a, b, c]",
         "[a, b, b]",
-        "q.yaml:10: lease.acceptors: \"b\" is named twice",
+        "q.yaml:10: lease.acceptors: duplicate name \"b\"",
     ),
     (
         "[a, b, c]",
@@ -80,7 +80,7 @@
     (
         "2s",
         "20ms",
-        "q.yaml:4: lease.duration: a lease lasts from 100ms",
+        "q.yaml:4: lease.duration: must be from 100ms",
     ),
     (
         "1%",
@@ -90,7 +90,7 @@
     (
         "0.1:2",
         "0.1:1",
-        "q.yaml:7: lease.limiters: b (line 8): 127.0.0.1:1 is another limiter's too",
+        "q.yaml:7: lease.limiters: b (line 8): 127.0.0.1:1 is already the address of another limiter",
     ),
     (
         "target: 127.0.0.1:9",
@@ -100,7 +100,7 @@
     (
         "0.1:9",
         "0.1:9\n      export: {spool: s, sink: k}",
-        "lease.tasks.export: a task has a target or an export",
+        "lease.tasks.export: a task cannot have both a target and an export",
     ),
     (
         "target: 127.0.0.1:9",
@@ -110,12 +110,12 @@
     (
         "2s",
         "2s\n  crash: {at: noon}",
-        "q.yaml:5: lease.crash.at: \"noon\" is not known",
+        "q.yaml:5: lease.crash.at: unknown value \"noon\"",
     ),
     (
         "0.1:9",
         "0.1",
-        "q.yaml:13: lease.tasks.target: \"127.0.0.1\" is not an address",
+        "q.yaml:13: lease.tasks.target: \"127.0.0.1\" is not a socket address",
     ),
     (
         "limiter: a",
@@ -125,22 +125,22 @@
     (
         "2s",
         "2s\n  clock: {fast: 30%}",
-        "q.yaml:5: lease.clock.fast: the clock of a trial is wrong by 20%",
+        "q.yaml:5: lease.clock.fast: the injected clock rate error must not exceed 20%",
     ),
     (
         "2s",
         "300ms",
-        "q.yaml:11: lease.tasks: an operation of \"beat\" may take more than half of the lease",
+        "q.yaml:11: lease.tasks: max_operation_duration of \"beat\" is more than half of the lease duration",
     ),
     (
         "      target: 127.0.0.1:9\n",
         "      target: 127.0.0.1:9\n    - {name: beat, target: 127.0.0.1:9}\n",
-        "q.yaml:11: lease.tasks: \"beat\" is named twice",
+        "q.yaml:11: lease.tasks: duplicate name \"beat\"",
     ),
     (
         "name: beat",
         "name: be at",
-        "q.yaml:12: lease.tasks.name: a name has 1 to 64 letters without spaces",
+        "q.yaml:12: lease.tasks.name: a task name must consist of 1 to 64 visible ASCII characters",
     ),
     (
         "  limiters:\n    a: 127.0.0.1:1\n    b: 127.0.0.1:2\n    c: 127.0.0.1:3\n",
@@ -150,12 +150,12 @@
     (
         "0.1:2",
         "0.1",
-        "q.yaml:7: lease.limiters: b (line 8): \"127.0.0.1\" is not an address; write one such as 10.1.0.7:7201",
+        "q.yaml:7: lease.limiters: b (line 8): \"127.0.0.1\" is not a socket address; write one such as 10.1.0.7:7201",
     ),
     (
         "0.1:9",
         "0.1:9\n      every: 0s",
-        "q.yaml:14: lease.tasks.every: 0; an operation takes some time, and so does the pause before the next",
+        "q.yaml:14: lease.tasks.every: every and max_operation_duration must not be 0",
     ),
 ];
 
--- a/crates/config/src/platform/decode.rs
+++ b/crates/config/src/platform/decode.rs
@@ -35,13 +35,13 @@
     #[error("not a finite number")]
     NotFinite,
     /// A keyword that its key does not accept.
-    #[error("unknown word {text:?}")]
+    #[error("unknown keyword {text:?}")]
     UnknownKeyword {
         /// The value.
         text: String,
     },
     /// A count of classes or plans above the maximum.
-    #[error("more than {MAX_LIST_LENGTH}")]
+    #[error("exceeds the maximum of {MAX_LIST_LENGTH}")]
     ListTooLong,
 }
 
--- a/crates/config/src/platform/flatten.rs
+++ b/crates/config/src/platform/flatten.rs
@@ -12,7 +12,7 @@
     #[error("settings: not an object")]
     NotAnObject,
     /// A list of scalars that contains a list.
-    #[error("settings.{path}: lists within lists are not known here")]
+    #[error("settings.{path}: nested lists are not supported")]
     NestedList {
         /// The path of the outer list.
         path: String,
--- a/crates/config/src/product.rs
+++ b/crates/config/src/product.rs
@@ -95,7 +95,8 @@
             .map(|node| read_log(&file, node, &mut faults));
         let metrics_interval = reader.duration("metrics_interval", &mut faults);
         if metrics_interval == Some(Duration::ZERO) {
-            let problem = "0; leave it out to have none, or write a time such as 1s";
+            let problem =
+                "must not be 0; omit the key to disable metrics, or write a duration such as 1s";
             reader.fault("metrics_interval", problem, &mut faults);
         }
         let lease = reader
@@ -120,7 +121,7 @@
         quantity::count(node, 1..=MAX_LOG_BURST)
     });
     if window == Some(Duration::ZERO) {
-        let problem = "0; repeats are counted over some time, such as 10s";
+        let problem = "must not be 0; write a duration such as 10s";
         reader.fault("window", problem, faults);
     }
     reader.end(faults);
--- a/crates/config/src/product/tests.rs
+++ b/crates/config/src/product/tests.rs
@@ -21,7 +21,7 @@
         .expect_err("faulty")
         .to_string();
     assert!(
-        faults.contains("q.yaml:1: metrics_interval: 0; leave it out"),
+        faults.contains("q.yaml:1: metrics_interval: must not be 0; omit the key"),
         "{faults}"
     );
 }
@@ -36,7 +36,7 @@
         .expect_err("faulty")
         .to_string();
     assert!(
-        faults.contains("q.yaml:1: tally: 0; leave it out"),
+        faults.contains("q.yaml:1: tally: must not be 0; omit the key"),
         "{faults}"
     );
 }
@@ -49,9 +49,9 @@
         .expect_err("faulty")
         .to_string();
     for part in [
-        "q.yaml:2: log.filter: \"inf\" is not known; did you mean info?",
-        "q.yaml:3: log.form: \"xml\" is not known; one of human, json",
-        "q.yaml:4: log.window: 10 has no unit; write a time such as 250ms or 2s",
+        "q.yaml:2: log.filter: unknown value \"inf\"; did you mean info?",
+        "q.yaml:3: log.form: unknown value \"xml\"; expected one of human, json",
+        "q.yaml:4: log.window: 10 has no unit; write a duration such as 250ms or 2s",
         "q.yaml:5: log.burst: 0.5 is not a whole number from 1 to 1000000",
         "q.yaml:6: log.brust: unknown key; did you mean burst?",
         "q.yaml:7: logs: unknown key; did you mean log?",
--- a/crates/config/src/reader.rs
+++ b/crates/config/src/reader.rs
@@ -181,7 +181,7 @@
                     self.unknown_key(key),
                 );
             } else if present != key && self.entries.iter().any(|entry| entry.key == present) {
-                let problem = format!("the former name of {present}, which is there too");
+                let problem = format!("former name of {present}, which is also given");
                 faults.add(self.file, *place, join(&self.path, key), problem);
             }
         }
@@ -195,7 +195,7 @@
                 let nearest = present_name(nearest, self.aliases);
                 format!("unknown key; did you mean {nearest}?")
             }
-            None => format!("unknown key; known here: {}", self.known.join(", ")),
+            None => format!("unknown key; expected one of: {}", self.known.join(", ")),
         }
     }
 }
--- a/crates/config/src/reader/tests.rs
+++ b/crates/config/src/reader/tests.rs
@@ -40,7 +40,7 @@
         ("{}\n", "f.yaml:1: acceptors: missing"),
         (
             "acceptors: 3\nvoters: 5\n",
-            "f.yaml:2: voters: the former name of acceptors, which is there too",
+            "f.yaml:2: voters: former name of acceptors, which is also given",
         ),
     ];
     for (text, expected) in cases {
--- a/crates/config/src/replacement.rs
+++ b/crates/config/src/replacement.rs
@@ -29,7 +29,7 @@
         path: String,
     },
     /// A value whose type differs from that in the current configuration.
-    #[error("{path}: {new} where {current} was")]
+    #[error("{path}: type changed from {current} to {new}")]
     TypeChanged {
         /// The key.
         path: String,
@@ -53,7 +53,7 @@
         path: String,
     },
     /// A name that two members of a list have.
-    #[error("{path}: given twice")]
+    #[error("{path}: duplicate name")]
     DuplicateName {
         /// The path of the second occurrence.
         path: String,
@@ -93,10 +93,10 @@
 impl std::fmt::Display for ValueType {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         formatter.write_str(match self {
-            ValueType::Null => "nothing",
-            ValueType::Bool => "true or false",
+            ValueType::Null => "null",
+            ValueType::Bool => "a boolean",
             ValueType::Number => "a number",
-            ValueType::String => "a text",
+            ValueType::String => "a string",
             ValueType::Array => "a list",
             ValueType::Object => "an object",
         })
--- a/crates/config/src/replacement/tests.rs
+++ b/crates/config/src/replacement/tests.rs
@@ -42,9 +42,9 @@
         change("/settings/limits", json!({}), "settings.limits.sendCap: missing"),
         change("/settings/categories/0", json!({"name": "check"}), "settings.categories.0.hardLimitNs: missing"),
         change("/settings/categories", json!([]), "settings.categories: empty"),
-        change("/settings/categories/0/name", json!("hold"), "settings.categories.1.name: given twice"),
+        change("/settings/categories/0/name", json!("hold"), "settings.categories.1.name: duplicate name"),
         change("/settings/contracts/0/name", json!(""), "settings.contracts.0.name: empty"),
-        change("/settings", json!([]), "settings: a list where an object was"),
+        change("/settings", json!([]), "settings: type changed from an object to a list"),
         change("", json!({}), "name: missing"),
     ]
 }
--- a/crates/config/src/tree/parse.rs
+++ b/crates/config/src/tree/parse.rs
@@ -11,17 +11,17 @@
 /// The reason why a file cannot be parsed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 enum ParseProblem {
-    #[error("not YAML: {0}")]
+    #[error("invalid YAML: {0}")]
     NotYaml(String),
-    #[error("a second document; a file has one")]
+    #[error("multiple YAML documents; a file must contain only one")]
     SecondDocument,
-    #[error("nested more than {MAX_DEPTH} deep")]
+    #[error("nested more than {MAX_DEPTH} levels deep")]
     TooDeep,
-    #[error("a key that is no plain text")]
+    #[error("a key that is not a scalar")]
     KeyNotText,
-    #[error("a YAML alias; aliases are not supported")]
+    #[error("YAML aliases are not supported")]
     Alias,
-    #[error("a value that cannot be read")]
+    #[error("invalid value")]
     BadValue,
 }
 
--- a/crates/config/src/value.rs
+++ b/crates/config/src/value.rs
@@ -4,13 +4,13 @@
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum ValueError {
     /// A list or a map where text is expected.
-    #[error("not a text")]
+    #[error("expected text, not a list or a map")]
     NotText,
     /// Something other than `true` or `false`.
-    #[error("neither true nor false")]
+    #[error("expected true or false")]
     NotBool,
     /// An unknown keyword that resembles an accepted one.
-    #[error("{keyword:?} is not known; did you mean {nearest}?")]
+    #[error("unknown value {keyword:?}; did you mean {nearest}?")]
     MisspelledKeyword {
         /// The keyword.
         keyword: String,
@@ -18,7 +18,7 @@
         nearest: String,
     },
     /// An unknown keyword that resembles no accepted one.
-    #[error("{keyword:?} is not known; one of {}", accepted.join(", "))]
+    #[error("unknown value {keyword:?}; expected one of {}", accepted.join(", "))]
     UnknownKeyword {
         /// The keyword.
         keyword: String,
@@ -26,28 +26,28 @@
         accepted: Vec<String>,
     },
     /// A number without a unit where a duration is expected.
-    #[error("{number} has no unit; write a time such as 250ms or 2s")]
+    #[error("{number} has no unit; write a duration such as 250ms or 2s")]
     MissingUnit {
         /// The number.
         number: f64,
     },
     /// A boolean, list, map or null where a duration is expected.
-    #[error("not a time; write one such as 250ms or 2s")]
+    #[error("not a duration; write one such as 250ms or 2s")]
     NotDuration,
     /// Text that is not a duration.
-    #[error("{text:?} is not a time; write one such as 250ms or 2s")]
+    #[error("{text:?} is not a duration; write one such as 250ms or 2s")]
     InvalidDuration {
         /// The text.
         text: String,
     },
     /// A duration that is negative, or too long to be represented.
-    #[error("{text:?} is not between 0 and 292 years")]
+    #[error("{text:?} is out of range; a duration must be from 0 to 292 years")]
     DurationOutOfRange {
         /// The text.
         text: String,
     },
     /// A number that is negative or not finite.
-    #[error("{number} is not a number from 0 up")]
+    #[error("{number} is not a finite number of at least 0")]
     NegativeNumber {
         /// The number.
         number: f64,
@@ -69,7 +69,7 @@
         max: u64,
     },
     /// A value that is not a fraction from 0 to 1.
-    #[error("{text:?} is not a share; write one such as 10% or 0.1")]
+    #[error("{text:?} is not a fraction from 0 to 1; write one such as 10% or 0.1")]
     InvalidFraction {
         /// The value as text; empty for lists and maps.
         text: String,
--- a/crates/expectations/tests/expectations/main.rs
+++ b/crates/expectations/tests/expectations/main.rs
@@ -235,8 +235,8 @@
     let all = notes.join("\n");
     for part in [
         "e.yaml:7: when.0.from: no partner \"Azip\"; did you mean Azib?",
-        "e.yaml:11: given.discovery: -3s is not a time",
-        "e.yaml:13: when.0.at: soon: \"soon\" is not known",
+        "e.yaml:11: given.discovery: -3s is not a valid duration",
+        "e.yaml:13: when.0.at: soon: unknown part \"soon\"",
         "e.yaml:13: when.0.request: no class \"bed-hould\"; did you mean bed-hold?",
         "e.yaml:15: must.0: a requirement without a condition",
         "e.yaml:20: must.0.served.at least: more than at most",
--- a/tests/documentation/keys.rs
+++ b/tests/documentation/keys.rs
@@ -13,7 +13,7 @@
 
 /// A key that resembles no known one.
 const UNKNOWN_KEY: &str = "????";
-const KNOWN_KEYS: &str = "unknown key; known here: ";
+const KNOWN_KEYS: &str = "unknown key; expected one of: ";
 /// The problem of a map that lacks the key which states its kind ends with all such keys behind this.
 const KINDS: &str = "; one of ";
 
--- a/tests/limiter.rs
+++ b/tests/limiter.rs
@@ -352,7 +352,7 @@
         (
             "\"dedup\"",
             "\"dedupe\"",
-            "settings.categories.1.effect: unknown word",
+            "settings.categories.1.effect: unknown keyword",
         ),
         ("\"counter\": \"127.0.0.1:7002\",", "", "counter: missing"),
         ("\"8c1f30d27a5be964\"", "7", "seed: 7 is not a text"),
