--- a/crates/config/src/deployment.rs
+++ b/crates/config/src/deployment.rs
@@ -1,5 +1,5 @@
-//! The platform's settings of a deployment with their source lines: classes, plans, durations and limits. The file is JSON,
-//! or YAML in which durations have units.
+//! The platform's settings of a deployment with their source lines: classes, plans, durations and limits. The file is
+//! JSON, or YAML in which durations have units.
 
 mod consistency;
 mod names;
@@ -57,8 +57,8 @@
 }
 
 impl Deployment {
-    /// Parses and validates the text of a file. The settings are below the key `settings` if the file has one, otherwise at
-    /// the top level.
+    /// Parses and validates the text of a file. The settings are below the key `settings` if the file has one,
+    /// otherwise at the top level.
     ///
     /// # Errors
     /// Returns all faults of the file.
@@ -140,8 +140,8 @@
     }
 }
 
-/// Returns a copy of the tree with all durations as numbers of nanoseconds. Adds a fault for each invalid duration and each
-/// probable misspelling of a key.
+/// Returns a copy of the tree with all durations as numbers of nanoseconds. Adds a fault for each invalid duration and
+/// each probable misspelling of a key.
 fn with_durations_in_nanos(file: &Arc<str>, tree: &Node, faults: &mut Faults) -> Node {
     let mut normalized = tree.clone();
     for Leaf { path, node } in tree.leaves() {
--- a/crates/config/src/deployment/consistency.rs
+++ b/crates/config/src/deployment/consistency.rs
@@ -7,8 +7,8 @@
 use crate::tree::Place;
 use quartzcleat_decision::api::{Class, Effect, Plan, Settings};
 
-/// A contradiction between settings. The message names the remedy, and [`Fault`](crate::fault::Fault) adds file, line and
-/// key.
+/// A contradiction between settings. The message names the remedy, and [`Fault`](crate::fault::Fault) adds file, line
+/// and key.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 enum Contradiction {
     #[error("missing; requests refer to classes by name")]
--- a/crates/config/src/deployment/names.rs
+++ b/crates/config/src/deployment/names.rs
@@ -227,8 +227,8 @@
 }
 
 impl<T> Section<T> {
-    /// Returns the value of the field with this present or former name. `key_prefix` is the path of the object in the file,
-    /// with a trailing dot.
+    /// Returns the value of the field with this present or former name. `key_prefix` is the path of the object in the
+    /// file, with a trailing dot.
     fn value(&self, name: &str, object: &T, key_prefix: &str) -> Result<SettingValue, UnknownPart> {
         let name = present_name(name, self.aliases);
         let names: Vec<_> = self.fields.iter().map(|field| field.name).collect();
--- a/crates/config/src/deployment/unknown_keys.rs
+++ b/crates/config/src/deployment/unknown_keys.rs
@@ -1,5 +1,5 @@
-//! Detection of misspelled keys. The platform's settings have more keys than are read here, so an unknown key is a fault
-//! only if it resembles a known key that is missing.
+//! Detection of misspelled keys. The platform's settings have more keys than are read here, so an unknown key is a
+//! fault only if it resembles a known key that is missing.
 
 use crate::fault::{nearest, Faults};
 use crate::key_path::{join, split_parent};
--- a/crates/config/src/fault.rs
+++ b/crates/config/src/fault.rs
@@ -82,8 +82,8 @@
 /// Jaro-Winkler similarity (0 to 1) above which an unknown word may be a misspelling of a known one.
 const MIN_SIMILARITY: f64 = 0.82;
 
-/// Returns the known word that is most similar to `unknown`, for "did you mean" hints. Returns `None` if no word is similar
-/// enough.
+/// Returns the known word that is most similar to `unknown`, for "did you mean" hints. Returns `None` if no word is
+/// similar enough.
 pub fn nearest<'a>(unknown: &str, known: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
     known
         .into_iter()
--- a/crates/config/src/formula.rs
+++ b/crates/config/src/formula.rs
@@ -1,8 +1,8 @@
 //! Formulas over a deployment's settings: `plans.guide.burst * 1.1`, `classes.bed-hold.aim + 50ms`.
 //!
-//! This module resolves names and units; evalexpr does the arithmetic. To tell durations from plain numbers, a formula is
-//! evaluated in two units of time: a duration scales with the unit, and a plain number is the same in both. A formula with
-//! any other result mixes the two and is rejected.
+//! This module resolves names and units; evalexpr does the arithmetic. To tell durations from plain numbers, a formula
+//! is evaluated in two units of time: a duration scales with the unit, and a plain number is the same in both. A
+//! formula with any other result mixes the two and is rejected.
 
 mod scan;
 #[cfg(test)]
@@ -32,7 +32,8 @@
     pub key: String,
 }
 
-/// The value of a formula of known type, and the keys that it depends on. `T` is `f64`, or `u64` nanoseconds for durations.
+/// The value of a formula of known type, and the keys that it depends on. `T` is `f64`, or `u64` nanoseconds for
+/// durations.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Evaluated<T> {
     /// The value of the formula.
@@ -86,13 +87,13 @@
     /// A number where a duration is expected, or a negative duration.
     #[error("{text} is not a valid duration; write one such as 250ms")]
     NotDuration {
-        /// The formula.
+        /// The formula as written in the file.
         text: String,
     },
     /// A duration where a number is expected.
     #[error("{text} is a duration; expected a plain number")]
     NotNumber {
-        /// The formula.
+        /// The formula as written in the file.
         text: String,
     },
     /// Digits and dots that do not form a number, such as `1.2.3`.
@@ -110,7 +111,7 @@
     /// A character that is not allowed in formulas.
     #[error("{character:?} is not allowed in a formula")]
     UnexpectedCharacter {
-        /// The character.
+        /// The first invalid character.
         character: char,
     },
     /// An expression that evalexpr rejects.
@@ -124,13 +125,13 @@
     /// A result that is infinite or NaN.
     #[error("{text:?} is not a finite number")]
     NotFinite {
-        /// The formula.
+        /// The formula as written in the file.
         text: String,
     },
     /// A formula that mixes durations and plain numbers, such as `1 + 5ms`.
     #[error("{text:?} mixes durations and plain numbers")]
     MixedUnits {
-        /// The formula.
+        /// The formula as written in the file.
         text: String,
     },
 }
@@ -148,8 +149,8 @@
 /// Evaluates the formula of a node. A number node is a plain number.
 ///
 /// # Errors
-/// Returns an error if the node is not a number or text, a name is unknown, the expression is invalid, or the formula mixes
-/// durations and plain numbers.
+/// Returns an error if the node is not a number or text, a name is unknown, the expression is invalid, or the formula
+/// mixes durations and plain numbers.
 pub fn evaluate(node: &Node, resolve: &Resolve<'_>) -> Result<FormulaValue, FormulaError> {
     match &node.content {
         Content::Number(value) => Ok(FormulaValue {
--- a/crates/config/src/lease/error.rs
+++ b/crates/config/src/lease/error.rs
@@ -7,11 +7,12 @@
 /// An invalid value in the section `lease`. The message names the remedy; the reader adds file, line and key.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum LeaseConfigError {
-    /// A lease duration outside 100 ms to 10 min. A shorter lease expires before its renewal succeeds on a busy machine.
+    /// A lease duration outside 100 ms to 10 min. A shorter lease expires before its renewal succeeds on a busy
+    /// machine.
     #[error("must be from 100ms to 10m")]
     DurationOutOfRange,
-    /// A clock drift above 20%. The drift is subtracted from the holder's validity period, so a large one leaves little of
-    /// it.
+    /// A clock drift above 20%. The drift is subtracted from the holder's validity period, so a large one leaves little
+    /// of it.
     #[error(
         "a clock drift above 20% leaves too little of the lease; write a percentage such as 1%"
     )]
@@ -19,13 +20,13 @@
     /// A name that is not in `limiters`.
     #[error("{name:?} is not one of lease.limiters")]
     UnknownLimiter {
-        /// The name.
+        /// The unknown name.
         name: String,
     },
     /// A name that occurs twice in a list.
     #[error("duplicate name {name:?}")]
     DuplicateName {
-        /// The name.
+        /// The name that occurs twice.
         name: String,
     },
     /// An even number of acceptors, which a network partition can split into two halves without a majority.
@@ -37,13 +38,13 @@
     /// A task whose longest operation takes more than half of the lease duration.
     #[error("max_operation_duration of {task:?} is more than half of the lease duration")]
     OperationTooLong {
-        /// The task's name.
+        /// The name of the task.
         task: String,
     },
     /// Text that is not a socket address.
     #[error("{text:?} is not a socket address; write one such as 10.1.0.7:7201")]
     InvalidAddress {
-        /// The text.
+        /// The value as written in the file.
         text: String,
     },
     /// A value of `limiters` that is not a map of names to addresses.
@@ -52,7 +53,7 @@
     /// An invalid address of a limiter.
     #[error("{limiter} (line {line}): {source}")]
     InvalidLimiter {
-        /// The limiter's name.
+        /// The name of the limiter.
         limiter: String,
         /// The line of its entry in the file.
         line: u32,
@@ -62,7 +63,7 @@
     /// An address that two limiters have.
     #[error("{address} is already the address of another limiter")]
     DuplicateAddress {
-        /// The address.
+        /// The address that occurs twice.
         address: SocketAddr,
     },
     /// A task name that is empty, longer than 64 bytes, or contains characters other than visible ASCII.
--- a/crates/config/src/lease/section.rs
+++ b/crates/config/src/lease/section.rs
@@ -97,8 +97,8 @@
         }
     }
 
-    /// Returns whether `limiters` has the name. If `limiters` itself is invalid, every name counts as known, so that only
-    /// that fault is reported.
+    /// Returns whether `limiters` has the name. If `limiters` itself is invalid, every name counts as known, so that
+    /// only that fault is reported.
     fn knows_limiter(&self, name: &str) -> bool {
         self.limiters
             .as_ref()
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,5 +1,5 @@
-//! Configuration files with source locations: YAML and JSON trees, faults, quantities with units, the platform's settings
-//! of a deployment, and the product's own file.
+//! Configuration files with source locations: YAML and JSON trees, faults, quantities with units, the platform's
+//! settings of a deployment, and the product's own file.
 //!
 //! All faults of a file are reported at once. The crate does no network I/O and makes no admission decisions.
 
--- a/crates/config/src/platform/decode.rs
+++ b/crates/config/src/platform/decode.rs
@@ -28,7 +28,7 @@
     /// A value that cannot be parsed as the type of its key.
     #[error("cannot read {text:?}")]
     Unparsable {
-        /// The value.
+        /// The value as text.
         text: String,
     },
     /// A number that is infinite or NaN.
@@ -37,7 +37,7 @@
     /// A keyword that its key does not accept.
     #[error("unknown keyword {text:?}")]
     UnknownKeyword {
-        /// The value.
+        /// The unknown keyword.
         text: String,
     },
     /// A count of classes or plans above the maximum.
@@ -108,7 +108,8 @@
         0.0
     }
 
-    /// Returns the name that a key holds, or an empty one if the key is absent. Unlike in [`Self::value`], `-` is valid.
+    /// Returns the name that a key holds, or an empty one if the key is absent. Unlike in [`Self::value`], `-` is
+    /// valid.
     fn text(&self, key: &str) -> String {
         self.pairs
             .get(key)
--- a/crates/config/src/platform/flatten.rs
+++ b/crates/config/src/platform/flatten.rs
@@ -19,8 +19,8 @@
     },
 }
 
-/// Converts nested JSON to `path=value` pairs. A list of objects also gets a pair `path.count`; the members of a list of
-/// scalars are joined by commas.
+/// Converts nested JSON to `path=value` pairs. A list of objects also gets a pair `path.count`; the members of a list
+/// of scalars are joined by commas.
 ///
 /// # Errors
 /// Returns an error if the value is not an object or contains a list within a list.
@@ -71,8 +71,8 @@
     }
 }
 
-/// Formats a number for the decoder, which expects integers such as `3` and `5000000000`. In JSON, they may be written as
-/// `3.0` or `5e9`.
+/// Formats a number for the decoder, which expects integers such as `3` and `5000000000`. In JSON, they may be written
+/// as `3.0` or `5e9`.
 fn number_text(number: &Number) -> String {
     match number.as_f64() {
         Some(real) if number.is_f64() && real.fract() == 0.0 && real.abs() < MAX_WHOLE_NUMBER => {
--- a/crates/config/src/platform/tests.rs
+++ b/crates/config/src/platform/tests.rs
@@ -16,8 +16,8 @@
     assert!(decode([("categories.count", "4000000000")].into_iter().collect()).is_err());
 }
 
-/// Checks for each key that its default equals an absent key, that another value changes the settings, and that the changed
-/// settings survive encoding and decoding.
+/// Checks for each key that its default equals an absent key, that another value changes the settings, and that the
+/// changed settings survive encoding and decoding.
 #[test]
 fn key_table_decoder_and_encoder_agree() {
     let counts = [("categories.count", "1"), ("contracts.count", "1")];
--- a/crates/config/src/product.rs
+++ b/crates/config/src/product.rs
@@ -1,5 +1,5 @@
-//! The product's own file, `deploy/quartzcleat.yaml`, for settings that the platform's configuration cannot hold. Without
-//! the file the defaults apply, and nothing is enabled that the platform does not allow.
+//! The product's own file, `deploy/quartzcleat.yaml`, for settings that the platform's configuration cannot hold.
+//! Without the file the defaults apply, and nothing is enabled that the platform does not allow.
 
 #[cfg(test)]
 mod tests;
@@ -14,8 +14,8 @@
 use std::time::Duration;
 
 const DEFAULT_LOG_FILTER: &str = "info";
-/// The default limit on repeated lines. Without one, a fault that recurs ten times a second fills the log that the platform
-/// keeps of standard error.
+/// The default limit on repeated lines. Without one, a fault that recurs ten times a second would fill the log
+/// that the platform keeps of standard error.
 const DEFAULT_LOG_WINDOW: Duration = Duration::from_secs(10);
 const DEFAULT_LOG_BURST: u32 = 5;
 const MAX_LOG_BURST: u64 = 1_000_000;
@@ -51,8 +51,8 @@
     pub filter: String,
     /// The format of the log lines.
     pub format: LogFormat,
-    /// The window of the rate limit. At most `burst` lines per call site are written within it; the others are counted, and
-    /// their number is logged at the end of the window. Not zero.
+    /// The window of the rate limit. At most `burst` lines per call site are written within it; the others are counted,
+    /// and their number is logged at the end of the window. Not zero.
     pub window: Duration,
     /// The maximum number of lines per call site within `window`, from 1 to 1,000,000.
     pub burst: u32,
--- a/crates/config/src/reader.rs
+++ b/crates/config/src/reader.rs
@@ -1,5 +1,5 @@
-//! A reader for the keys of a map. Keys that no caller reads are reported as unknown, and faults are collected rather than
-//! returned at the first one. A renamed key is still accepted by its former name.
+//! A reader for the keys of a map. Keys that no caller reads are reported as unknown, and faults are collected rather
+//! than returned at the first one. A renamed key is still accepted by its former name.
 
 #[cfg(test)]
 mod tests;
@@ -39,7 +39,8 @@
         .map_or(name, |alias| alias.present)
 }
 
-/// A reader for the entries of one map. Its methods add faults to the caller's list and return `None` for invalid values.
+/// A reader for the entries of one map. Its methods add faults to the caller's list and return `None` for invalid
+/// values.
 pub struct Reader<'a> {
     file: &'a Arc<str>,
     path: String,
@@ -50,8 +51,8 @@
 }
 
 impl<'a> Reader<'a> {
-    /// Creates a reader for the map `node`, whose path in the file is `path`. Null counts as an empty map, and any other
-    /// value as an empty map with a fault.
+    /// Creates a reader for the map `node`, whose path in the file is `path`. Null counts as an empty map, and any
+    /// other value as an empty map with a fault.
     pub fn new(file: &'a Arc<str>, path: &str, node: &'a Node, faults: &mut Faults) -> Self {
         let entries: &[_] = match &node.content {
             Content::Map(entries) => entries,
@@ -168,8 +169,8 @@
         self.take(key, faults, |node| one_of(&text(node)?, keywords))
     }
 
-    /// Finishes reading. Adds a fault for each key that was not read, and for each key that is given under both its former
-    /// and its present name.
+    /// Finishes reading. Adds a fault for each key that was not read, and for each key that is given under both its
+    /// former and its present name.
     pub fn end(self, faults: &mut Faults) {
         for Entry { key, place, .. } in self.entries {
             let present = present_name(key, self.aliases);
--- a/crates/config/src/replacement.rs
+++ b/crates/config/src/replacement.rs
@@ -1,7 +1,7 @@
 //! Validation of a configuration that is to replace the current one.
 //!
-//! Every key of the current configuration must be in the new one. Otherwise a file that is truncated, half written or lacks
-//! a key would be accepted with defaults that no operator chose.
+//! Every key of the current configuration must be in the new one. Otherwise a file that is truncated, half written or
+//! lacks a key would be accepted with defaults that no operator chose.
 
 use crate::key_path::join;
 use serde_json::{Map, Value};
@@ -25,13 +25,13 @@
     /// A key of the current configuration is missing.
     #[error("{path}: missing")]
     Missing {
-        /// The key.
+        /// The full path of the missing key.
         path: String,
     },
     /// A value whose type differs from that in the current configuration.
     #[error("{path}: type changed from {current} to {new}")]
     TypeChanged {
-        /// The key.
+        /// The full path of the value.
         path: String,
         /// The type in the new configuration.
         new: ValueType,
@@ -41,7 +41,7 @@
     /// A value that must be a number above zero and is not.
     #[error("{path}: {value} is not a number above zero")]
     NotPositive {
-        /// The key.
+        /// The full path of the value.
         path: String,
         /// The value in the new configuration.
         value: Value,
@@ -49,7 +49,7 @@
     /// An empty list of objects that the current configuration fills, or an empty name of a list member.
     #[error("{path}: empty")]
     Empty {
-        /// The key.
+        /// The full path of the list or name.
         path: String,
     },
     /// A name that two members of a list have.
--- a/crates/config/src/value.rs
+++ b/crates/config/src/value.rs
@@ -12,7 +12,7 @@
     /// An unknown keyword that resembles an accepted one.
     #[error("unknown value {keyword:?}; did you mean {nearest}?")]
     MisspelledKeyword {
-        /// The keyword.
+        /// The unknown keyword.
         keyword: String,
         /// The accepted keyword that is most similar to it.
         nearest: String,
@@ -20,7 +20,7 @@
     /// An unknown keyword that resembles no accepted one.
     #[error("unknown value {keyword:?}; expected one of {}", accepted.join(", "))]
     UnknownKeyword {
-        /// The keyword.
+        /// The unknown keyword.
         keyword: String,
         /// All accepted keywords, in the order of the table.
         accepted: Vec<String>,
@@ -28,7 +28,7 @@
     /// A number without a unit where a duration is expected.
     #[error("{number} has no unit; write a duration such as 250ms or 2s")]
     MissingUnit {
-        /// The number.
+        /// The number without a unit.
         number: f64,
     },
     /// A boolean, list, map or null where a duration is expected.
@@ -37,19 +37,19 @@
     /// Text that is not a duration.
     #[error("{text:?} is not a duration; write one such as 250ms or 2s")]
     InvalidDuration {
-        /// The text.
+        /// The value as written in the file.
         text: String,
     },
     /// A duration that is negative, or too long to be represented.
     #[error("{text:?} is out of range; a duration must be from 0 to 292 years")]
     DurationOutOfRange {
-        /// The text.
+        /// The value as written in the file.
         text: String,
     },
     /// A number that is negative or not finite.
     #[error("{number} is not a finite number of at least 0")]
     NegativeNumber {
-        /// The number.
+        /// The rejected number.
         number: f64,
     },
     /// A value that is not a number.
@@ -61,7 +61,7 @@
     /// A number that is not an integer or not in the accepted range.
     #[error("{number} is not a whole number from {min} to {max}")]
     CountOutOfRange {
-        /// The number.
+        /// The rejected number.
         number: f64,
         /// The smallest accepted number.
         min: u64,
