--- a/crates/admin/src/drain/tests.rs
+++ b/crates/admin/src/drain/tests.rs
@@ -1,36 +1,36 @@
-//! Orders and shutdowns that follow each other, at every phase.
+//! Tests of orders and shutdowns that follow each other, in every phase.
 
 use super::*;
 
 const TIMES: DrainTimes = DrainTimes {
-    linger: 6,
-    last_call: 20,
+    drain_delay: 6,
+    reject_after: 20,
 };
 
-/// Every pair of drain, undrain and shutdown, in its order, the second one at any phase of the first.
+/// Pairs of drain, undrain and shutdown in either sequence, with the second one in each phase of the first.
 #[test]
-fn each_pair_of_orders_leads_to_one_phase() {
-    use Phase::{Closing, LastCall, Serving};
-    type Order = fn(&mut DrainController, Nanos);
-    let drain: Order = DrainController::drain;
-    let undrain: Order = DrainController::undrain;
-    let shut_down: Order = |controller, at| controller.shut_down(at, Successor::None);
-    let hand_over: Order = |controller, at| controller.shut_down(at, Successor::Serving);
+fn pairs_of_orders_lead_to_the_expected_phase() {
+    use Phase::{Closing, Rejecting, Serving};
+    type Action = fn(&mut DrainController, Nanos);
+    let drain: Action = DrainController::drain;
+    let undrain: Action = DrainController::undrain;
+    let shut_down: Action = |controller, at| controller.shut_down(at, Successor::None);
+    let hand_over: Action = |controller, at| controller.shut_down(at, Successor::Serving);
     for (first, second, gap, at, phase, accepts_clients, is_shutting_down) in [
-        (drain, drain, 10, 21, LastCall, false, false),
+        (drain, drain, 10, 21, Rejecting, false, false),
         (drain, undrain, 3, 30, Serving, true, false),
         (drain, undrain, 10, 10, Serving, true, false),
         (drain, undrain, 25, 25, Serving, true, false),
         (undrain, drain, 10, 15, Serving, false, false),
         (undrain, drain, 10, 16, Closing, false, false),
-        (drain, shut_down, 10, 20, LastCall, false, true),
+        (drain, shut_down, 10, 20, Rejecting, false, true),
         (drain, shut_down, 2, 5, Serving, false, true),
         (shut_down, drain, 10, 10, Closing, false, true),
-        (shut_down, undrain, 10, 20, LastCall, true, true),
+        (shut_down, undrain, 10, 20, Rejecting, true, true),
         (shut_down, shut_down, 10, 6, Closing, true, true),
         (drain, hand_over, 1, 1, Closing, false, true),
         (hand_over, undrain, 1, 2, Closing, true, true),
-        (hand_over, shut_down, 1, 20, LastCall, true, true),
+        (hand_over, shut_down, 1, 20, Rejecting, true, true),
     ] {
         let mut controller = DrainController::new(TIMES);
         first(&mut controller, 100);
@@ -69,7 +69,7 @@
     assert_eq!(
         controller.status(120),
         PhaseStatus {
-            phase: Phase::LastCall,
+            phase: Phase::Rejecting,
             next_at: None
         }
     );
