--- a/crates/config/src/deployment/tests.rs
+++ b/crates/config/src/deployment/tests.rs
@@ -1,4 +1,4 @@
-//! Deployments are read with units and names, and all faults are found with their lines.
+//! Tests of reading deployments: units, setting names, and faults with their lines.
 
 use super::*;
 
@@ -39,7 +39,7 @@
     );
     assert!(deployment
         .resolve("plans.gide.burst")
-        .expect_err("a typing error")
+        .expect_err("a misspelled plan")
         .to_string()
         .contains("guide"));
     assert!(
@@ -51,12 +51,12 @@
 #[test]
 fn settings_are_found_in_a_complete_configuration() {
     let deployment = Deployment::read("day.yaml", DEPLOYMENT).expect("valid");
-    let whole = format!(
+    let complete = format!(
         "{{\"name\": \"n\", \"settings\": {}}}",
         deployment.tree.to_json()
     );
     assert_eq!(
-        Deployment::read("config.json", &whole)
+        Deployment::read("config.json", &complete)
             .expect("valid")
             .settings
             .plans,
@@ -119,7 +119,7 @@
         .is_err());
 }
 
-/// A name of a setting, and its former name.
+/// The present and the former name of each renamed setting.
 const RENAMED: [(&str, &str); 18] = [
     ("plans.guide.max_concurrent_attempts", "plans.guide.open"),
     ("plans.guide.weight", "plans.guide.worth"),
--- a/crates/config/src/lease/section.rs
+++ b/crates/config/src/lease/section.rs
@@ -1,9 +1,9 @@
-//! Reading and checking of the whole section.
+//! Parsing and validation of the section `lease`.
 
 use super::limiters::read_limiters;
 use super::task::read_task;
 use super::testing::{read_clock_fault, read_scheduled_crash};
-use super::{ClockFault, Lease, LeaseConfigError, ScheduledCrash, Task};
+use super::{ClockFault, LeaseConfig, LeaseConfigError, ScheduledCrash, Task};
 use crate::fault::Faults;
 use crate::quantity;
 use crate::reader::{list, text, Alias, Reader};
@@ -15,8 +15,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The shortest lease: a shorter one ends before its renewal succeeds on a busy machine. The longest one leaves a
-/// task without a holder for as long after its holder has failed.
+/// Accepted lease durations. A lease shorter than 100 ms expires before its renewal succeeds on a busy machine. After a
+/// holder fails, its task has no holder for up to the lease duration, so the upper limit bounds that outage.
 const DURATION_RANGE: RangeInclusive<Duration> =
     Duration::from_millis(100)..=Duration::from_secs(600);
 const DEFAULT_DURATION: Duration = Duration::from_secs(3);
@@ -31,7 +31,7 @@
     Alias::new("die", "crash"),
 ];
 
-/// The values as they are read from the file.
+/// The values of the section before validation.
 struct Section {
     limiter: Option<String>,
     key_file: Option<String>,
@@ -44,18 +44,19 @@
     clock_fault: ClockFault,
 }
 
-/// Reads the section; `None` where a required value is missing or invalid. All problems are added to `faults`.
-pub(crate) fn read(file: &Arc<str>, node: &Node, faults: &mut Faults) -> Option<Lease> {
+/// Reads and validates the section, and adds all problems to `faults`. Returns `None` if a required value is missing or
+/// unreadable.
+pub(crate) fn read(file: &Arc<str>, node: &Node, faults: &mut Faults) -> Option<LeaseConfig> {
     let mut reader = Reader::new(file, "lease", node, faults).with_aliases(ALIASES);
     let section = Section::read(file, &mut reader, faults);
-    let mut check = Check {
+    let mut checker = Checker {
         reader: &reader,
         faults,
     };
-    check.timing(&section);
-    check.limiter(&section);
-    check.acceptors(&section);
-    check.tasks(&section);
+    checker.timing(&section);
+    checker.limiter(&section);
+    checker.acceptors(&section);
+    checker.tasks(&section);
     reader.end(faults);
     section.into_lease()
 }
@@ -96,16 +97,16 @@
         }
     }
 
-    /// Whether a name is a limiter's. Where the limiters themselves are invalid, every name counts as known, so that only
-    /// their own fault is reported.
+    /// Returns whether `limiters` has the name. If `limiters` itself is invalid, every name counts as known, so that
+    /// only that fault is reported.
     fn knows_limiter(&self, name: &str) -> bool {
         self.limiters
             .as_ref()
             .is_none_or(|limiters| limiters.contains_key(name))
     }
 
-    fn into_lease(self) -> Option<Lease> {
-        Some(Lease {
+    fn into_lease(self) -> Option<LeaseConfig> {
+        Some(LeaseConfig {
             limiter: self.limiter?,
             key_file: self.key_file?.into(),
             duration: self.duration,
@@ -119,13 +120,13 @@
     }
 }
 
-/// Checks that concern several values, or a value's range.
-struct Check<'a, 'b> {
+/// A validator of ranges, and of values that depend on each other.
+struct Checker<'a, 'b> {
     reader: &'a Reader<'b>,
     faults: &'a mut Faults,
 }
 
-impl Check<'_, '_> {
+impl Checker<'_, '_> {
     fn add(&mut self, key: &str, problem: impl Display) {
         self.reader.fault(key, problem, self.faults);
     }
@@ -141,7 +142,7 @@
 
     fn limiter(&mut self, section: &Section) {
         if let Some(name) = &section.limiter {
-            self.is_limiter("limiter", name, section);
+            self.require_known_limiter("limiter", name, section);
         }
     }
 
@@ -156,7 +157,7 @@
                 let name = name.clone();
                 self.add("acceptors", LeaseConfigError::DuplicateName { name });
             }
-            self.is_limiter("acceptors", name, section);
+            self.require_known_limiter("acceptors", name, section);
         }
     }
 
@@ -176,7 +177,7 @@
         }
     }
 
-    fn is_limiter(&mut self, key: &str, name: &str, section: &Section) {
+    fn require_known_limiter(&mut self, key: &str, name: &str, section: &Section) {
         if !section.knows_limiter(name) {
             let name = name.to_owned();
             self.add(key, LeaseConfigError::UnknownLimiter { name });
--- a/crates/config/src/platform/encode.rs
+++ b/crates/config/src/platform/encode.rs
@@ -1,10 +1,10 @@
-//! Settings as the platform's nested JSON.
+//! Encoder of settings as the platform's nested JSON.
 
-use super::keys::{DISCOVERY_MODES, EFFECTS, GROUPS, REPORT_SOURCES};
+use super::keys::{DEDUP_SCOPES, DISCOVERY_MODES, EFFECTS, REPORT_SOURCES};
 use quartzcleat_decision::api::{Class, Plan, Settings};
 use serde_json::{json, Value};
 
-/// Writes settings as the platform's nested JSON, the inverse of [`flatten`](super::flatten()) and
+/// Encodes settings as the platform's nested JSON, the inverse of [`flatten`](super::flatten()) followed by
 /// [`decode`](super::decode()).
 #[must_use]
 pub fn encode(settings: &Settings, zone_names: &[String]) -> Value {
@@ -25,7 +25,7 @@
     })
 }
 
-/// The keyword for a value; the tables hold every value.
+/// Returns the keyword for a value. It is never `None`, as each table has every value of its type.
 fn keyword_for<T: Copy + PartialEq>(
     keywords: &'static [(&'static str, T)],
     value: T,
@@ -40,7 +40,7 @@
     json!({
         "name": class.name,
         "effect": keyword_for(&EFFECTS, class.effect),
-        "group": keyword_for(&GROUPS, class.dedup_scope),
+        "group": keyword_for(&DEDUP_SCOPES, class.dedup_scope),
         "dedupWindowNs": class.dedup_window,
         "onTimeNs": class.latency_objective,
         "aimStretch": class.latency_objective_stretch,
--- a/src/net/leases/startup.rs
+++ b/src/net/leases/startup.rs
@@ -9,7 +9,7 @@
 use crate::net::shutdown::{Phase, Shutdown};
 use crate::net::task::spawn;
 use crate::net::usage_export::{Exporter, UsageRecorder};
-use quartzcleat_config::lease::{ClockFault, Lease, Task, TaskAction};
+use quartzcleat_config::lease::{ClockFault, LeaseConfig, Task, TaskAction};
 use quartzcleat_lease::SharedKey;
 use std::io;
 use std::net::SocketAddr;
@@ -25,7 +25,7 @@
 ///
 /// # Errors
 /// Returns [`LeaseError::OpenSpool`] if the spool cannot be written.
-pub fn open_usage_recorder(lease: &Lease) -> Result<Option<Rc<UsageRecorder>>, LeaseError> {
+pub fn open_usage_recorder(lease: &LeaseConfig) -> Result<Option<Rc<UsageRecorder>>, LeaseError> {
     let spool = lease.tasks.iter().find_map(|task| match &task.action {
         TaskAction::ExportUsage { spool, .. } => Some(spool),
         TaskAction::Heartbeat { .. } => None,
@@ -50,7 +50,7 @@
 /// Returns an error if the key cannot be read or is empty, or if the address cannot be bound for any reason other than
 /// being in use.
 pub async fn start(
-    lease: Lease,
+    lease: LeaseConfig,
     shutdown: &Shutdown,
     usage_recorder: Option<Rc<UsageRecorder>>,
 ) -> Result<(), LeaseError> {
@@ -80,7 +80,7 @@
     Ok(())
 }
 
-fn read_key(lease: &Lease) -> Result<SharedKey, LeaseError> {
+fn read_key(lease: &LeaseConfig) -> Result<SharedKey, LeaseError> {
     let path = lease.key_file.clone();
     let secret = std::fs::read(&path).map_err(|source| LeaseError::ReadKey {
         path: path.clone(),
@@ -94,7 +94,7 @@
 
 /// The inputs of a start, kept until the address is bound.
 struct Startup {
-    lease: Lease,
+    lease: LeaseConfig,
     key: SharedKey,
     node_id: u32,
     phases: watch::Receiver<Phase>,
