--- a/crates/config/src/deployment/consistency.rs
+++ b/crates/config/src/deployment/consistency.rs
@@ -1,27 +1,28 @@
-//! Checks of settings that are valid by themselves and contradict each other.
+//! Checks for settings that are valid on their own and contradict each other.
 
 use super::Deployment;
 use crate::fault::Faults;
 use crate::key_path::join;
-use crate::quantity::show_time;
+use crate::quantity::format_duration;
 use crate::tree::Place;
 use quartzcleat_decision::api::{Class, Effect, Plan, Settings};
 
-/// A contradiction between settings. The text names the remedy; file, line and key are added to it.
+/// A contradiction between settings. The message names the remedy, and [`Fault`](crate::fault::Fault) adds file, line
+/// and key.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 enum Contradiction {
-    #[error("missing; requests name their class")]
+    #[error("missing; requests refer to classes by name")]
     ClassWithoutName,
-    #[error("{} is not after the latency objective, {}", show_time(*deadline), show_time(*latency_objective))]
+    #[error("{} is not a valid deadline; it must not be 0 or shorter than the latency objective, {}", format_duration(*deadline), format_duration(*latency_objective))]
     DeadlineBeforeObjective {
         deadline: u64,
         latency_objective: u64,
     },
     #[error("missing; a class with idempotency keys needs a deduplication window")]
     KeyedClassWithoutDedupWindow,
-    #[error("missing; requests name their plan")]
+    #[error("missing; requests refer to plans by name")]
     PlanWithoutName,
-    #[error("a quota is not negative")]
+    #[error("rate and burst must not be negative")]
     NegativeQuota,
     #[error("{burst} is less than the largest request, {largest_request}")]
     BurstBelowLargestRequest { burst: f64, largest_request: f64 },
@@ -32,41 +33,42 @@
         burst: f64,
     },
     #[error("0; at least one attempt is needed")]
-    NoAttempts,
-    #[error("missing; the counter needs it")]
+    ZeroMaxAttempts,
+    #[error("missing; required if familyInfo.counter is true")]
     CounterWithoutTimeout,
-    #[error("missing; rejections with a retry_after need it")]
-    NoLongestRetryAfter,
-    #[error("{value} is not a share from 0 to 1")]
-    SlowStartFloorOutOfRange { value: f64 },
-    #[error("{limiter} is not below the number of limiters, {limiter_count}")]
+    #[error("missing; required if limits.retryAfter is true")]
+    MissingMaxRetryAfter,
+    #[error("{value} is not a fraction from 0 to 1")]
+    InitialCapacityOutOfRange { value: f64 },
+    #[error("index {limiter} is out of range for {limiter_count} limiters")]
     LimiterIndexTooHigh { limiter: u32, limiter_count: u32 },
 }
 
 impl Deployment {
     /// Adds a fault for each contradiction between settings.
     pub(super) fn check_consistency(&self, faults: &mut Faults) {
-        let mut check = Check {
+        let mut checker = Checker {
             deployment: self,
             faults,
         };
         for (index, class) in self.settings.classes.iter().enumerate() {
-            check.class(&format!("categories.{index}"), class);
+            checker.class(&format!("categories.{index}"), class);
         }
         for (index, plan) in self.settings.plans.iter().enumerate() {
-            check.plan(&format!("contracts.{index}"), plan);
+            checker.plan(&format!("contracts.{index}"), plan);
         }
-        check.limits(&self.settings);
-        check.safety(&self.settings);
+        checker.limits(&self.settings);
+        checker.safety(&self.settings);
     }
 }
 
-struct Check<'a> {
+/// A validator that adds a fault for each contradiction it finds.
+struct Checker<'a> {
     deployment: &'a Deployment,
     faults: &'a mut Faults,
 }
 
-impl Check<'_> {
+impl Checker<'_> {
     fn add(&mut self, key: &str, contradiction: Contradiction) {
         let place = Place {
             line: self.deployment.line(key),
@@ -76,7 +78,7 @@
             .add(&self.deployment.file, place, key, contradiction);
     }
 
-    /// Checks a class, whose object has a path in the file.
+    /// Checks a class. `path` is the path of its object in the file.
     fn class(&mut self, path: &str, class: &Class) {
         let key = |key| join(path, key);
         if class.name.is_empty() {
@@ -95,7 +97,7 @@
         }
     }
 
-    /// Checks a plan, whose object has a path in the file.
+    /// Checks a plan. `path` is the path of its object in the file.
     fn plan(&mut self, path: &str, plan: &Plan) {
         let key = |key| join(path, key);
         if plan.name.is_empty() {
@@ -123,22 +125,24 @@
 
     fn limits(&mut self, settings: &Settings) {
         if settings.attempts.max_per_request == 0 {
-            self.add("limits.sendCap", Contradiction::NoAttempts);
+            self.add("limits.sendCap", Contradiction::ZeroMaxAttempts);
         }
         if settings.counter.is_available && settings.counter.timeout == 0 {
             let contradiction = Contradiction::CounterWithoutTimeout;
             self.add("familyInfo.counterTimeoutNs", contradiction);
         }
         if settings.backoff.sends_retry_after && settings.backoff.longest_retry_after == 0 {
-            let contradiction = Contradiction::NoLongestRetryAfter;
+            let contradiction = Contradiction::MissingMaxRetryAfter;
             self.add("limits.maxRetryAfterNs", contradiction);
         }
     }
 
     fn safety(&mut self, settings: &Settings) {
-        let floor = settings.slow_start.initial_capacity;
-        if !(0.0..=1.0).contains(&floor) {
-            let contradiction = Contradiction::SlowStartFloorOutOfRange { value: floor };
+        let initial_capacity = settings.slow_start.initial_capacity;
+        if !(0.0..=1.0).contains(&initial_capacity) {
+            let contradiction = Contradiction::InitialCapacityOutOfRange {
+                value: initial_capacity,
+            };
             self.add("safety.coldFrom", contradiction);
         }
         if settings.limiters.count > 0 && settings.limiters.own_index.0 >= settings.limiters.count {
--- a/crates/config/src/deployment/names.rs
+++ b/crates/config/src/deployment/names.rs
@@ -1,4 +1,4 @@
-//! The names by which formulas refer to settings: `plans.guide.burst`, `classes.bed-hold.latency_objective`,
+//! Resolution of the setting names that formulas use: `plans.guide.burst`, `classes.bed-hold.latency_objective`,
 //! `limits.max_attempts`, `safety.drain_grace`.
 
 use super::Deployment;
@@ -7,39 +7,39 @@
 use crate::reader::{present_name, Alias};
 use quartzcleat_decision::api::{Class, Plan, Settings};
 
-/// How the value of a setting is read from the object that has it.
-enum Read<T> {
+/// The function that returns a setting's value from its object.
+enum Getter<T> {
     Number(fn(&T) -> f64),
     /// A duration in nanoseconds.
-    Time(fn(&T) -> u64),
+    Duration(fn(&T) -> u64),
 }
 
-/// A setting that formulas can name.
+/// A setting that formulas can refer to.
 struct Field<T> {
-    /// Its name in a formula.
+    /// The name in formulas.
     name: &'static str,
-    /// Its key in the file, within the object that has it.
+    /// The key in the file, relative to the object.
     key: &'static str,
-    read: Read<T>,
+    getter: Getter<T>,
 }
 
-const fn number<T>(name: &'static str, key: &'static str, read: fn(&T) -> f64) -> Field<T> {
+const fn number<T>(name: &'static str, key: &'static str, get: fn(&T) -> f64) -> Field<T> {
     Field {
         name,
         key,
-        read: Read::Number(read),
+        getter: Getter::Number(get),
     }
 }
 
-const fn time<T>(name: &'static str, key: &'static str, read: fn(&T) -> u64) -> Field<T> {
+const fn duration<T>(name: &'static str, key: &'static str, get: fn(&T) -> u64) -> Field<T> {
     Field {
         name,
         key,
-        read: Read::Time(read),
+        getter: Getter::Duration(get),
     }
 }
 
-/// The settings of one kind of object, with the former names of some.
+/// The settings of one type of object, and their former names.
 struct Section<T: 'static> {
     fields: &'static [Field<T>],
     aliases: &'static [Alias],
@@ -74,11 +74,11 @@
 
 const CLASS: Section<Class> = Section {
     fields: &[
-        time("latency_objective", "onTimeNs", |class| {
+        duration("latency_objective", "onTimeNs", |class| {
             class.latency_objective
         }),
-        time("deadline", "hardLimitNs", |class| class.deadline),
-        time("dedup_window", "dedupWindowNs", |class| class.dedup_window),
+        duration("deadline", "hardLimitNs", |class| class.deadline),
+        duration("dedup_window", "dedupWindowNs", |class| class.dedup_window),
         number("weight", "importance", |class| class.priority_weight),
         number("late_weight", "lateWorth", |class| class.late_weight),
     ],
@@ -98,10 +98,10 @@
         number("max_requests_in_progress", "limits.openCap", |settings| {
             settings.attempts.max_requests_in_progress.into()
         }),
-        time("max_retry_after", "limits.maxRetryAfterNs", |settings| {
+        duration("max_retry_after", "limits.maxRetryAfterNs", |settings| {
             settings.backoff.longest_retry_after
         }),
-        time("connect_timeout", "limits.connectTimeoutNs", |settings| {
+        duration("connect_timeout", "limits.connectTimeoutNs", |settings| {
             settings.attempts.connect_timeout
         }),
     ],
@@ -115,13 +115,13 @@
 
 const SAFETY: Section<Settings> = Section {
     fields: &[
-        time("drain_grace", "safety.drainGraceNs", |settings| {
+        duration("drain_grace", "safety.drainGraceNs", |settings| {
             settings.grace.drain
         }),
-        time("slow_start_duration", "safety.warmAfterNs", |settings| {
+        duration("slow_start_duration", "safety.warmAfterNs", |settings| {
             settings.slow_start.duration
         }),
-        time("overload_duration", "safety.tipAfterNs", |settings| {
+        duration("overload_duration", "safety.tipAfterNs", |settings| {
             settings.slow_start.overload_duration
         }),
         number("initial_capacity", "safety.coldFrom", |settings| {
@@ -141,7 +141,7 @@
 };
 
 const COUNTER_TIMEOUT: Field<Settings> =
-    time("timeout", "familyInfo.counterTimeoutNs", |settings| {
+    duration("timeout", "familyInfo.counterTimeoutNs", |settings| {
         settings.counter.timeout
     });
 const LARGEST_REQUEST: Field<Settings> = number("max", "familyInfo.unitsTop", |settings| {
@@ -151,7 +151,7 @@
     settings.limiters.count.into()
 });
 
-/// A part of a name that is unknown, with the parts that are known in its position.
+/// An unknown part of a name, with the parts that are valid in its position.
 struct UnknownPart {
     part: String,
     known: Vec<String>,
@@ -165,7 +165,7 @@
         }
     }
 
-    fn of_name(self, name: &str) -> UnknownSetting {
+    fn into_error(self, name: &str) -> UnknownSetting {
         let nearest = nearest(&self.part, self.known.iter().map(String::as_str)).map(str::to_owned);
         let name = name.to_owned();
         match nearest {
@@ -184,10 +184,10 @@
 }
 
 impl Deployment {
-    /// The setting that a name stands for.
+    /// Returns the setting that a name refers to.
     ///
     /// # Errors
-    /// A part of the name is unknown.
+    /// Returns an error if a part of the name is unknown.
     pub fn resolve(&self, name: &str) -> Result<SettingValue, UnknownSetting> {
         let settings = &self.settings;
         let parts: Vec<&str> = name.split('.').collect();
@@ -201,7 +201,7 @@
             ["limiters"] => Ok(LIMITER_COUNT.value(settings, "")),
             _ => Err(UnknownPart::new(parts[0], &SECTIONS)),
         };
-        resolved.map_err(|unknown| unknown.of_name(name))
+        resolved.map_err(|unknown| unknown.into_error(name))
     }
 }
 
@@ -227,7 +227,8 @@
 }
 
 impl<T> Section<T> {
-    /// The value of a field, by its present or its former name. `key_prefix` is the path of the object in the file.
+    /// Returns the value of the field with this present or former name. `key_prefix` is the path of the object in the
+    /// file, with a trailing dot.
     fn value(&self, name: &str, object: &T, key_prefix: &str) -> Result<SettingValue, UnknownPart> {
         let name = present_name(name, self.aliases);
         let names: Vec<_> = self.fields.iter().map(|field| field.name).collect();
@@ -238,13 +239,13 @@
 
 impl<T> Field<T> {
     fn value(&self, object: &T, key_prefix: &str) -> SettingValue {
-        let (value, is_time) = match self.read {
-            Read::Number(read) => (read(object), false),
-            Read::Time(read) => (read(object) as f64, true),
+        let (value, is_duration) = match self.getter {
+            Getter::Number(get) => (get(object), false),
+            Getter::Duration(get) => (get(object) as f64, true),
         };
         SettingValue {
             value,
-            is_time,
+            is_duration,
             key: format!("{key_prefix}{}", self.key),
         }
     }
--- a/crates/config/src/lease/tests.rs
+++ b/crates/config/src/lease/tests.rs
@@ -1,12 +1,12 @@
 //! Tests of the section `lease`.
 
-use super::{Lease, TaskAction};
-use crate::Product;
+use super::{LeaseConfig, TaskAction};
+use crate::ProductConfig;
 
 const VALID: &str = "lease:\n  limiter: a\n  key: k\n  duration: 2s\n  drift: 1%\n  limiters:\n    a: 127.0.0.1:1\n    b: 127.0.0.1:2\n    c: 127.0.0.1:3\n  acceptors: [a, b, c]\n  tasks:\n    - name: beat\n      target: 127.0.0.1:9\n";
 
-fn read_lease(text: &str) -> Lease {
-    Product::read("q.yaml", text)
+fn read_lease(text: &str) -> LeaseConfig {
+    ProductConfig::read("q.yaml", text)
         .expect("the file is valid")
         .lease
         .expect("the section is there")
@@ -27,7 +27,8 @@
 
 #[test]
 fn section_is_optional() {
-    let without = Product::read("q.yaml", "metrics_interval: 1s\n").expect("the file is valid");
+    let without =
+        ProductConfig::read("q.yaml", "metrics_interval: 1s\n").expect("the file is valid");
     assert_eq!(without.lease, None);
 }
 
@@ -53,7 +54,7 @@
     );
 }
 
-/// A text of [`VALID`], the text that replaces it, and a part of the resulting fault.
+/// A fragment of [`VALID`], its replacement, and a part of the resulting fault.
 const INVALID: [(&str, &str, &str); 21] = [
     (
         "[a, b, c]",
@@ -64,7 +65,7 @@
     (
         "[a, b, c]",
         "[a, b, b]",
-        "q.yaml:10: lease.acceptors: \"b\" is named twice",
+        "q.yaml:10: lease.acceptors: duplicate name \"b\"",
     ),
     (
         "[a, b, c]",
@@ -79,7 +80,7 @@
     (
         "2s",
         "20ms",
-        "q.yaml:4: lease.duration: a lease lasts from 100ms",
+        "q.yaml:4: lease.duration: must be from 100ms",
     ),
     (
         "1%",
@@ -89,7 +90,7 @@
     (
         "0.1:2",
         "0.1:1",
-        "q.yaml:7: lease.limiters: b (line 8): 127.0.0.1:1 is another limiter's too",
+        "q.yaml:7: lease.limiters: b (line 8): 127.0.0.1:1 is already the address of another limiter",
     ),
     (
         "target: 127.0.0.1:9",
@@ -99,7 +100,7 @@
     (
         "0.1:9",
         "0.1:9\n      export: {spool: s, sink: k}",
-        "lease.tasks.export: a task has a target or an export",
+        "lease.tasks.export: a task cannot have both a target and an export",
     ),
     (
         "target: 127.0.0.1:9",
@@ -109,12 +110,12 @@
     (
         "2s",
         "2s\n  crash: {at: noon}",
-        "q.yaml:5: lease.crash.at: \"noon\" is not known",
+        "q.yaml:5: lease.crash.at: unknown value \"noon\"",
     ),
     (
         "0.1:9",
         "0.1",
-        "q.yaml:13: lease.tasks.target: \"127.0.0.1\" is not an address",
+        "q.yaml:13: lease.tasks.target: \"127.0.0.1\" is not a socket address",
     ),
     (
         "limiter: a",
@@ -124,22 +125,22 @@
     (
         "2s",
         "2s\n  clock: {fast: 30%}",
-        "q.yaml:5: lease.clock.fast: the clock of a trial is wrong by 20%",
+        "q.yaml:5: lease.clock.fast: the injected clock rate error must not exceed 20%",
     ),
     (
         "2s",
         "300ms",
-        "q.yaml:11: lease.tasks: an operation of \"beat\" may take more than half of the lease",
+        "q.yaml:11: lease.tasks: max_operation_duration of \"beat\" is more than half of the lease duration",
     ),
     (
         "      target: 127.0.0.1:9\n",
         "      target: 127.0.0.1:9\n    - {name: beat, target: 127.0.0.1:9}\n",
-        "q.yaml:11: lease.tasks: \"beat\" is named twice",
+        "q.yaml:11: lease.tasks: duplicate name \"beat\"",
     ),
     (
         "name: beat",
         "name: be at",
-        "q.yaml:12: lease.tasks.name: a name has 1 to 64 letters without spaces",
+        "q.yaml:12: lease.tasks.name: a task name must consist of 1 to 64 visible ASCII characters",
     ),
     (
         "  limiters:\n    a: 127.0.0.1:1\n    b: 127.0.0.1:2\n    c: 127.0.0.1:3\n",
@@ -149,12 +150,12 @@
     (
         "0.1:2",
         "0.1",
-        "q.yaml:7: lease.limiters: b (line 8): \"127.0.0.1\" is not an address; write one such as 10.1.0.7:7201",
+        "q.yaml:7: lease.limiters: b (line 8): \"127.0.0.1\" is not a socket address; write one such as 10.1.0.7:7201",
     ),
     (
         "0.1:9",
         "0.1:9\n      every: 0s",
-        "q.yaml:14: lease.tasks.every: 0; an operation takes some time, and so does the pause before the next",
+        "q.yaml:14: lease.tasks.every: every and max_operation_duration must not be 0",
     ),
 ];
 
@@ -162,14 +163,14 @@
 fn invalid_values_are_rejected_with_their_line() {
     for (from, to, expected) in INVALID {
         assert!(VALID.contains(from));
-        let faults = Product::read("q.yaml", &VALID.replace(from, to))
+        let faults = ProductConfig::read("q.yaml", &VALID.replace(from, to))
             .expect_err("the file is invalid")
             .to_string();
         assert!(faults.contains(expected), "{expected}\nnot in\n{faults}");
     }
 }
 
-/// A present key with its value as in [`VALID`] or added to it, and the former spelling.
+/// A line with a present key, from [`VALID`] or added to it, and the same line with the former key.
 const RENAMED: [(&str, &str); 5] = [
     ("  limiter: a\n", "  me: a\n"),
     ("  duration: 2s\n", "  length: 2s\n"),
@@ -196,7 +197,7 @@
                 .any(|prefix| changelog.contains(&format!("{prefix}{key}`")));
             assert!(is_listed, "CHANGELOG.md: {key}");
         }
-        // The scheduled crash is for tests only and has its line in docs/trials.md.
+        // The scheduled crash is for tests only and documented in docs/trials.md.
         let is_explained = page.contains(key(present)) || key(present) == "crash";
         assert!(is_explained, "docs/leases.md: {present}");
     }
--- a/crates/config/src/platform/keys.rs
+++ b/crates/config/src/platform/keys.rs
@@ -1,4 +1,4 @@
-//! The table of the platform's keys, and the keywords that some of them accept.
+//! The table of the platform's keys, and the keywords that their values accept.
 
 use quartzcleat_decision::api::{DedupScope, Effect, ReportSource};
 
@@ -6,25 +6,25 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
     /// A duration in nanoseconds.
-    Time,
-    /// A number; counts are numbers too.
+    Duration,
+    /// A number, including counts.
     Number,
     /// `true` or `false`.
     Flag,
-    /// One of the listed keywords.
+    /// One of these keywords.
     Keyword(&'static [&'static str]),
-    /// A name.
+    /// Free text that names a class or plan.
     Name,
 }
 
-/// A key that is read.
+/// A key of the platform's settings that is read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SettingKey {
-    /// Its path, with `N` in place of the indices of lists.
+    /// The path of the key, with `N` in place of list indices.
     pub pattern: &'static str,
-    /// The type of its value.
+    /// The type of the value.
     pub kind: Kind,
-    /// The value that holds where the key is absent.
+    /// The value of an absent key, as text.
     pub default: &'static str,
 }
 
@@ -41,7 +41,7 @@
     ("retryable", Effect::Idempotent),
     ("dedup", Effect::IdempotentWithKey),
 ];
-pub(super) const GROUPS: [(&str, DedupScope); 3] = [
+pub(super) const DEDUP_SCOPES: [(&str, DedupScope); 3] = [
     ("cell", DedupScope::Cell),
     ("all", DedupScope::All),
     ("zone", DedupScope::Zone),
@@ -51,11 +51,11 @@
     ("answers", ReportSource::Answers),
     ("probe", ReportSource::HealthChecks),
 ];
-/// Whether discovery is polled, by the keyword for it.
+/// The keywords of the discovery modes, and whether the mode polls.
 pub(super) const DISCOVERY_MODES: [(&str, bool); 2] = [("push", false), ("ask", true)];
 
 const EFFECT_KEYWORDS: [&str; 3] = keywords_of(&EFFECTS);
-const GROUP_KEYWORDS: [&str; 3] = keywords_of(&GROUPS);
+const DEDUP_SCOPE_KEYWORDS: [&str; 3] = keywords_of(&DEDUP_SCOPES);
 const REPORT_SOURCE_KEYWORDS: [&str; 3] = keywords_of(&REPORT_SOURCES);
 const DISCOVERY_MODE_KEYWORDS: [&str; 2] = keywords_of(&DISCOVERY_MODES);
 
@@ -71,7 +71,7 @@
     keywords
 }
 
-/// Every key that is read.
+/// All keys of the platform's settings that are read.
 pub const KEYS: &[SettingKey] = &[
     key("categories.N.name", Kind::Name, ""),
     key(
@@ -79,11 +79,15 @@
         Kind::Keyword(&EFFECT_KEYWORDS),
         "fragile",
     ),
-    key("categories.N.group", Kind::Keyword(&GROUP_KEYWORDS), "cell"),
-    key("categories.N.dedupWindowNs", Kind::Time, "0"),
-    key("categories.N.onTimeNs", Kind::Time, "0"),
+    key(
+        "categories.N.group",
+        Kind::Keyword(&DEDUP_SCOPE_KEYWORDS),
+        "cell",
+    ),
+    key("categories.N.dedupWindowNs", Kind::Duration, "0"),
+    key("categories.N.onTimeNs", Kind::Duration, "0"),
     key("categories.N.aimStretch", Kind::Number, "0"),
-    key("categories.N.hardLimitNs", Kind::Time, "0"),
+    key("categories.N.hardLimitNs", Kind::Duration, "0"),
     key("categories.N.importance", Kind::Number, "0"),
     key("categories.N.lateWorth", Kind::Number, "0"),
     key("categories.N.stream", Kind::Flag, "false"),
@@ -100,7 +104,7 @@
     key("balancers", Kind::Number, "0"),
     key("me", Kind::Number, "0"),
     key("zone", Kind::Number, "0"),
-    key("quantumNs", Kind::Time, "0"),
+    key("quantumNs", Kind::Duration, "0"),
     key(
         "registryMode",
         Kind::Keyword(&DISCOVERY_MODE_KEYWORDS),
@@ -108,7 +112,7 @@
     ),
     key("stats.how", Kind::Keyword(&REPORT_SOURCE_KEYWORDS), "none"),
     key("familyInfo.counter", Kind::Flag, "false"),
-    key("familyInfo.counterTimeoutNs", Kind::Time, "0"),
+    key("familyInfo.counterTimeoutNs", Kind::Duration, "0"),
     key("familyInfo.callPrice", Kind::Number, "0"),
     key("familyInfo.costAfter", Kind::Flag, "false"),
     key("familyInfo.unitsTop", Kind::Number, "0"),
@@ -117,30 +121,30 @@
     key("limits.peers", Kind::Flag, "false"),
     key("limits.secondCopies", Kind::Flag, "false"),
     key("limits.retryAfter", Kind::Flag, "false"),
-    key("limits.maxRetryAfterNs", Kind::Time, "0"),
+    key("limits.maxRetryAfterNs", Kind::Duration, "0"),
     key("limits.sendCap", Kind::Number, "0"),
     key("limits.openCap", Kind::Number, "0"),
-    key("limits.connectTimeoutNs", Kind::Time, "0"),
-    key("safety.graceToAnswerNs", Kind::Time, "0"),
-    key("safety.drainGraceNs", Kind::Time, "0"),
+    key("limits.connectTimeoutNs", Kind::Duration, "0"),
+    key("safety.graceToAnswerNs", Kind::Duration, "0"),
+    key("safety.drainGraceNs", Kind::Duration, "0"),
     key("safety.coldFrom", Kind::Number, "0"),
-    key("safety.warmAfterNs", Kind::Time, "0"),
+    key("safety.warmAfterNs", Kind::Duration, "0"),
     key("safety.overloadFactor", Kind::Number, "0"),
-    key("safety.tipAfterNs", Kind::Time, "0"),
+    key("safety.tipAfterNs", Kind::Duration, "0"),
     key("charges.crossZone", Kind::Number, "0"),
     key("charges.waste", Kind::Number, "0"),
     key("charges.lateFail", Kind::Number, "0"),
     key("charges.probe", Kind::Number, "0"),
 ];
 
-/// The key that a path with indices belongs to.
+/// Returns the key whose pattern matches a path with indices, or `None` if the key is not read.
 #[must_use]
 pub fn key_of(path: &str) -> Option<&'static SettingKey> {
     let pattern = pattern_of(path);
     KEYS.iter().find(|key| key.pattern == pattern)
 }
 
-/// A path with `N` in place of its indices.
+/// Returns the path with its indices replaced by `N`.
 fn pattern_of(path: &str) -> String {
     let parts: Vec<&str> = path
         .split('.')
--- a/crates/config/src/reader/tests.rs
+++ b/crates/config/src/reader/tests.rs
@@ -1,4 +1,4 @@
-//! Former names of keys and keywords.
+//! Tests of former names of keys and keywords.
 
 use super::{one_of_renamed, Alias, Reader};
 use crate::fault::Faults;
@@ -8,7 +8,7 @@
 
 const ALIASES: &[Alias] = &[Alias::new("voters", "acceptors")];
 
-/// Reads a file whose one key is `acceptors`.
+/// Reads a file whose only key is `acceptors`.
 fn read_acceptors(text: &str) -> Result<u64, Faults> {
     let file: Arc<str> = "f.yaml".into();
     let tree = tree::parse(&file, text)?;
@@ -40,7 +40,7 @@
         ("{}\n", "f.yaml:1: acceptors: missing"),
         (
             "acceptors: 3\nvoters: 5\n",
-            "f.yaml:2: voters: the former name of acceptors, which is there too",
+            "f.yaml:2: voters: former name of acceptors, which is also given",
         ),
     ];
     for (text, expected) in cases {
--- a/crates/config/src/replacement/tests.rs
+++ b/crates/config/src/replacement/tests.rs
@@ -1,4 +1,4 @@
-//! A replacement that lost or damaged a key is rejected, and the fault names the key.
+//! Tests that a replacement with a missing or invalid key is rejected, and that the fault names the key.
 
 use super::*;
 use serde_json::json;
@@ -17,7 +17,7 @@
     })
 }
 
-/// A change of the configuration, and how its first fault begins.
+/// A change to the valid configuration, and the beginning of its first fault.
 struct InvalidChange {
     pointer: &'static str,
     value: Value,
@@ -42,9 +42,9 @@
         change("/settings/limits", json!({}), "settings.limits.sendCap: missing"),
         change("/settings/categories/0", json!({"name": "check"}), "settings.categories.0.hardLimitNs: missing"),
         change("/settings/categories", json!([]), "settings.categories: empty"),
-        change("/settings/categories/0/name", json!("hold"), "settings.categories.1.name: given twice"),
+        change("/settings/categories/0/name", json!("hold"), "settings.categories.1.name: duplicate name"),
         change("/settings/contracts/0/name", json!(""), "settings.contracts.0.name: empty"),
-        change("/settings", json!([]), "settings: a list where an object was"),
+        change("/settings", json!([]), "settings: type changed from an object to a list"),
         change("", json!({}), "name: missing"),
     ]
 }
@@ -59,7 +59,7 @@
     other.as_object_mut().expect("an object").remove("known");
     assert!(
         check_replacement(&current, &other).is_empty(),
-        "classes come and go: {:?}",
+        "classes may be added and removed: {:?}",
         check_replacement(&current, &other)
     );
 }
@@ -74,7 +74,7 @@
     } in invalid_changes()
     {
         let mut invalid = current.clone();
-        *invalid.pointer_mut(pointer).expect("it is there") = value;
+        *invalid.pointer_mut(pointer).expect("the pointer exists") = value;
         let faults = check_replacement(&current, &invalid);
         assert!(
             faults
